--- a/features/random_shard.py
+++ b/features/random_shard.py
@@ -110,15 +110,15 @@
     def _part(self):
         """Let a decider lose the store and some boxes, and a successor the others."""
         draw, world = self._draw, self.world
-        lives = sorted(world.entries)
-        lost = set(draw.sample(lives, draw.randint(0, len(lives))))
+        incarnations = sorted(world.entries)
+        lost = set(draw.sample(incarnations, draw.randint(0, len(incarnations))))
         older = world.leader
         older.without_store = True
         older.cut_from |= lost
         world.advance(draw.choice(PAUSES))
         world.take_over()
         if world.leader is not older:
-            world.leader.cut_from |= set(lives) - lost
+            world.leader.cut_from |= set(incarnations) - lost
 
     def _submit_crashing(self):
         steps = self._draw.choice(STEPS.elements)
--- a/features/report_world.py
+++ b/features/report_world.py
@@ -35,7 +35,7 @@
 
     def begin(self, now):
         """A new life."""
-        self.life = next(self.world.lives)
+        self.incarnation = next(self.world.incarnations)
         self.up_at = now
         self.dead = False
         self.reports = Reports(self.me, now, self.world.random.random())
@@ -113,10 +113,12 @@
     def ask_store(self, step):
         self.asking = True
         after = self.world.store_s
-        self.world.at(self.world.now + after, self.store_answers, self.life, step)
+        self.world.at(
+            self.world.now + after, self.store_answers, self.incarnation, step
+        )
 
-    def store_answers(self, life, step):
-        if self.dead or life != self.life:
+    def store_answers(self, incarnation, step):
+        if self.dead or incarnation != self.incarnation:
             return
         self.asking = False
         if self.world.store_reached(self):
@@ -160,7 +162,7 @@
     def __init__(self, seed, count, halls, store_s=0.004):
         self.random = random.Random(seed)
         self.store_s = store_s
-        self.lives = itertools.count(1)
+        self.incarnations = itertools.count(1)
         self.epoch, self.last = 0, ""
         self.beat = (0, 0.0)
         # What the store shows of who decides, and whether it takes no news of that.
@@ -205,16 +207,27 @@
     def carry(self, sender, node, status, now):
         target = self.processes[node]
         sender.sent += 1
-        life = target.life
+        incarnation = target.incarnation
         arrives = now + self.delay * (1.0 + self.random.random())
-        self.at(arrives, self.arrive, sender, target, life, status)
-
-    def arrive(self, sender, target, life, status):
-        if target.dead or target.life != life or not self.reaches(sender, target):
+        self.at(arrives, self.arrive, sender, target, incarnation, status)
+
+    def arrive(self, sender, target, incarnation, status):
+        if (
+            target.dead
+            or target.incarnation != incarnation
+            or not self.reaches(sender, target)
+        ):
             return
         if self.now < target.frozen_until:
             if target.frozen_until - self.now < CONNECTION_LOST:
-                self.at(target.frozen_until, self.arrive, sender, target, life, status)
+                self.at(
+                    target.frozen_until,
+                    self.arrive,
+                    sender,
+                    target,
+                    incarnation,
+                    status,
+                )
             return
         if target.registered_at is not None:
             return
--- a/features/session_world.py
+++ b/features/session_world.py
@@ -135,9 +135,9 @@
             for run in model.history
         ]
 
-    async def look(self, life, address, token, known, lease_ends_ms, wait_ms):
+    async def look(self, incarnation, address, token, known, lease_ends_ms, wait_ms):
         """See :class:`BoxCalls`."""
-        model = self.models[life]
+        model = self.models[incarnation]
         until = time.monotonic() + wait_ms / 1000.0
         while True:
             self.tick()
@@ -149,19 +149,19 @@
     async def start(self, order, token, spec, lease_ends_ms, checkpoint, ticket):
         """See :class:`BoxCalls`."""
         now = time.monotonic()
-        return self.models[order.life].start(
+        return self.models[order.incarnation].start(
             order.task, order.run, spec, lease_ends_ms, token, now
         )
 
     async def stop(self, order, token):
         """See :class:`BoxCalls`."""
         now = time.monotonic()
-        return self.models[order.life].stop(order.task, order.run, token, now)
+        return self.models[order.incarnation].stop(order.task, order.run, token, now)
 
     async def pace(self, order, token, percent):
         """See :class:`BoxCalls`."""
         now = time.monotonic()
-        model = self.models[order.life]
+        model = self.models[order.incarnation]
         return model.pace(order.task, order.run, percent, token, now)
 
 
@@ -177,8 +177,8 @@
         self.completed = []
         model = store.model
         model.append("config", [Record("config", b"{}")], None)
-        for life in self.boxes.models:
-            model.append("boxes", [Record(life, b"{}")], None)
+        for incarnation in self.boxes.models:
+            model.append("boxes", [Record(incarnation, b"{}")], None)
         self._sources = Sources(
             store,
             self.boxes,
@@ -189,17 +189,19 @@
         )
 
     @staticmethod
-    def _entry(life):
+    def _entry(incarnation):
         room = (8000, 8000, 0)
-        return BoxEntry(life, life, "pool", "h", "r", frozenset(), *room, False, None)
+        return BoxEntry(
+            incarnation, incarnation, "pool", "h", "r", frozenset(), *room, False, None
+        )
 
     @contextlib.asynccontextmanager
-    async def session(self, epoch, life=""):
+    async def session(self, epoch, incarnation=""):
         """Let a process take over; it is killed as the block ends."""
         log = NodeLog(descriptor=os.dup(self._log_file.fileno()), node=f"n{epoch}")
         ready = anyio.Event()
         async with anyio.create_task_group() as tasks:
-            taken = await take_over(self.store, epoch, life or f"life-{epoch}")
+            taken = await take_over(self.store, epoch, incarnation or f"life-{epoch}")
             session = Session(self._sources, taken, TERMS, log, NodeMetrics())
             tasks.start_soon(session.run, ready.set)
             with anyio.fail_after(10.0):
--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -36,8 +36,8 @@
         self.decider.evacuation.heard(0.0)
         entries = {f"b{n}": entry(n) for n in range(boxes)}
         self.decider.fleet.listed(entries, 0.0)
-        for life in entries:
-            self.decider.fleet.looked(life, 0.0, 0.0, Look(100, (), ()))
+        for incarnation in entries:
+            self.decider.fleet.looked(incarnation, 0.0, 0.0, Look(100, (), ()))
 
     def submit(self, step):
         self.jobs += 1
@@ -60,14 +60,24 @@
     def start(self, order):
         self.begun.setdefault(order.task.split(".")[0], self.now)
         taken = OrderAccepted(100)
-        self.decider.start_answered(order.life, order.task, order.run, taken, self.now)
+        self.decider.start_answered(
+            order.incarnation, order.task, order.run, taken, self.now
+        )
 
 
 def entry(number):
     room = (2**30, 80_000, 0)
-    life = f"b{number}"
+    incarnation = f"b{number}"
     return BoxEntry(
-        life, f"{life}:1", "pool", "h", "r", frozenset(), *room, False, None
+        incarnation,
+        f"{incarnation}:1",
+        "pool",
+        "h",
+        "r",
+        frozenset(),
+        *room,
+        False,
+        None,
     )
 
 
--- a/features/steps/box_standin_steps.py
+++ b/features/steps/box_standin_steps.py
@@ -208,7 +208,7 @@
 
     def runs(self):
         facts = json.loads(self.server.hook("/test/facts", {}).body)
-        return [run for life in facts for run in life["runs"]]
+        return [run for incarnation in facts for run in incarnation["runs"]]
 
     def play(self, script):
         """Run a script beside the box's own loop."""
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -45,11 +45,11 @@
         self.looked = []
         self.waits = []
 
-    async def look(self, life, address, token, known, lease_ends_ms, wait_ms):
+    async def look(self, incarnation, address, token, known, lease_ends_ms, wait_ms):
         now = time.monotonic()
-        self.looked.append((life, now))
+        self.looked.append((incarnation, now))
         self.waits.append(wait_ms)
-        if life in self.gone:
+        if incarnation in self.gone:
             await anyio.sleep(GIVEN_UP_S)
             return BoxNoAnswer("gone")
         self.calls += 1
@@ -66,9 +66,9 @@
         return OrderAccepted(1)
 
 
-def entry(life):
+def entry(incarnation):
     return BoxEntry(
-        life, "a", "pool", "h", "r", frozenset(), 1000, 1000, 0, False, None
+        incarnation, "a", "pool", "h", "r", frozenset(), 1000, 1000, 0, False, None
     )
 
 
@@ -86,11 +86,11 @@
     def fleet(self):
         return self
 
-    def plan_look(self, life, now, may_renew):
+    def plan_look(self, incarnation, now, may_renew):
         return LookPlan("a", 0, None, 1500)
 
-    def looked(self, life, sent, now, outcome):
-        box = self.boxes[life]
+    def looked(self, incarnation, sent, now, outcome):
+        box = self.boxes[incarnation]
         if isinstance(outcome, Look):
             box.adopted, box.silent_since = True, None
         elif box.silent_since is None:
@@ -107,9 +107,9 @@
         return []
 
 
-def keeper(life, calls, decider, budget):
+def keeper(incarnation, calls, decider, budget):
     return BoxKeeper(
-        life,
+        incarnation,
         "a",
         1,
         calls,
@@ -140,8 +140,8 @@
 def look_at_all(context, seconds, budget):
     async def script():
         async with anyio.create_task_group() as tasks:
-            for life in context.decider.boxes:
-                look = keeper(life, context.calls, context.decider, budget)
+            for incarnation in context.decider.boxes:
+                look = keeper(incarnation, context.calls, context.decider, budget)
                 tasks.start_soon(look.run)
             await anyio.sleep(seconds)
             tasks.cancel_scope.cancel()
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -153,7 +153,9 @@
     world.advance(0.5)
     context.gone = gone
     context.again = next(
-        life for life, e in world.entries.items() if e.address == entry.address
+        incarnation
+        for incarnation, e in world.entries.items()
+        if e.address == entry.address
     )
 
 
@@ -169,8 +171,10 @@
 
 def box_of(world, task):
     """Return the life on which a task runs, or nothing."""
-    lives = [life for life, box in world.boxes.items() if task in box.running]
-    return lives[0] if lives else None
+    incarnations = [
+        incarnation for incarnation, box in world.boxes.items() if task in box.running
+    ]
+    return incarnations[0] if incarnations else None
 
 
 @when(
@@ -182,12 +186,12 @@
     world.advance(0.5)
     context.job = world.submit((Step(count=1, cpu=500, memory_mb=10),))
     for _ in range(times):
-        while (life := box_of(world, f"{context.job}.0.0.0")) is None:
+        while (incarnation := box_of(world, f"{context.job}.0.0.0")) is None:
             assert not world.leader.decider.state.workflows[context.job].terminal
             world.advance(0.05)
         world.advance(after_s - 0.05)
-        rest = sorted(set(world.entries) - {life})[:others]
-        for lost in (life, *rest):
+        rest = sorted(set(world.entries) - {incarnation})[:others]
+        for lost in (incarnation, *rest):
             world.crash_box(sorted(world.entries).index(lost))
 
 
@@ -208,9 +212,17 @@
     context.broken = None
     try:
         for second in range(30):
-            lives = [life for life in sorted(world.entries) if world.boxes[life].alive]
-            free = [life for life in lives if not world.boxes[life].running]
-            world.crash_box(lives.index(free[second % len(free)]))
+            incarnations = [
+                incarnation
+                for incarnation in sorted(world.entries)
+                if world.boxes[incarnation].alive
+            ]
+            free = [
+                incarnation
+                for incarnation in incarnations
+                if not world.boxes[incarnation].running
+            ]
+            world.crash_box(incarnations.index(free[second % len(free)]))
             world.advance(1.0)
     except PromiseBroken as error:
         context.broken = error
@@ -281,15 +293,15 @@
     context.jobs = [world.submit((lasting,)) for _ in range(jobs)]
     world.advance(0.2)
     decider = world.leader.decider
-    lives = {
+    incarnations = {
         t.box
         for job in context.jobs
         for t in decider.state.workflows[job].tasks.values()
     }
-    assert len(lives) == 1, lives
-    (life,) = lives
-    assert len(world.boxes[life].running) == count
-    world.crash_box(sorted(world.entries).index(life))
+    assert len(incarnations) == 1, incarnations
+    (incarnation,) = incarnations
+    assert len(world.boxes[incarnation].running) == count
+    world.crash_box(sorted(world.entries).index(incarnation))
     while not notes(context, "run_lost"):
         world.advance(0.05)
     context.since = world.now
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -40,7 +40,7 @@
     """Halls where tasks of a job began, in the world's own record."""
     world = context.world
     return {
-        context.hall_of[box.life]
+        context.hall_of[box.incarnation]
         for box in world.boxes.values()
         for run in box.history
         if run.task.startswith(job)
@@ -48,7 +48,9 @@
 
 
 def note_halls(context):
-    halls = {life: entry.hall for life, entry in context.world.entries.items()}
+    halls = {
+        incarnation: entry.hall for incarnation, entry in context.world.entries.items()
+    }
     context.hall_of = {**getattr(context, "hall_of", {}), **halls}
 
 
@@ -107,7 +109,7 @@
     running = [
         run.task
         for box in world.boxes.values()
-        if context.hall_of[box.life] == "h1"
+        if context.hall_of[box.incarnation] == "h1"
         for run in box.running.values()
         if run.task.startswith(context.long)
     ]
@@ -128,7 +130,7 @@
 def again_elsewhere(context):
     world = context.world
     where = {
-        context.hall_of[box.life]
+        context.hall_of[box.incarnation]
         for box in world.boxes.values()
         if context.failing in box.running
     }
@@ -211,14 +213,19 @@
 def starts_wait(context):
     context.granted = []
 
-    async def start(kind, life):
-        async with context.window.turn(kind, life):
-            context.granted.append((kind, life))
+    async def start(kind, incarnation):
+        async with context.window.turn(kind, incarnation):
+            context.granted.append((kind, incarnation))
 
     async def run():
         async with anyio.create_task_group() as tasks:
-            for kind, life in ((SHORT, "a"), (FILLS, "a"), (FIRST, "a"), (SHORT, "b")):
-                tasks.start_soon(start, kind, life)
+            for kind, incarnation in (
+                (SHORT, "a"),
+                (FILLS, "a"),
+                (FIRST, "a"),
+                (SHORT, "b"),
+            ):
+                tasks.start_soon(start, kind, incarnation)
             await anyio.wait_all_tasks_blocked()
             assert context.granted == []
             context.window.release({"a"})
@@ -276,12 +283,14 @@
     decider = world.leader.decider
     advised = QUEUE._replace(advised=True, advice_valid_ms=60_000.0)
     decider.configured(Config(2, (advised,), {"pool": True}, 262144))
-    life = next(life for life, hall in context.hall_of.items() if hall == "h1")
+    incarnation = next(
+        incarnation for incarnation, hall in context.hall_of.items() if hall == "h1"
+    )
     submission = Submission("00ad", "q", "pool", "spec", (SMALL,))
     decider.called("r", SubmitJob(submission), world.now)
     asked = decider.decide(world.now, 0)
     assert [d for d in asked if isinstance(d, AskAdvice)], asked
-    advice = Advice({life: "ticket"}, 60.0)
+    advice = Advice({incarnation: "ticket"}, 60.0)
     question = next(d for d in asked if isinstance(d, AskAdvice))
     decider.advised(question, advice, world.now)
     decider.evacuation.ordered([HallOrder("h1", True)], world.now)
@@ -291,7 +300,11 @@
 @then("the boxes of h2 are asked about")
 def asked_again(context):
     questions = [d for d in context.asked if isinstance(d, AskAdvice)]
-    halls = {context.hall_of[life] for q in questions for life in q.lives}
+    halls = {
+        context.hall_of[incarnation]
+        for q in questions
+        for incarnation in q.incarnations
+    }
     assert halls == {"h2"}, context.asked
 
 
@@ -303,17 +316,27 @@
         self.decider = Decider(DeciderTerms(), self.now)
         self.decider.configured(CONFIG)
         self.entries = {
-            life: BoxEntry(
-                life, life, "pool", hall, "r", frozenset(), 8000, 8000, 0, False, None
+            incarnation: BoxEntry(
+                incarnation,
+                incarnation,
+                "pool",
+                hall,
+                "r",
+                frozenset(),
+                8000,
+                8000,
+                0,
+                False,
+                None,
             )
-            for life, hall in (("b0", "h2"), ("b1", "h1"), ("b2", "h2"))
+            for incarnation, hall in (("b0", "h2"), ("b1", "h1"), ("b2", "h2"))
         }
         self.listed()
 
     def listed(self):
         self.decider.fleet.listed(self.entries, self.now)
-        for life in self.entries:
-            self.decider.fleet.looked(life, self.now, self.now, Look(1, (), ()))
+        for incarnation in self.entries:
+            self.decider.fleet.looked(incarnation, self.now, self.now, Look(1, (), ()))
 
     def submit(self, job, step):
         call = SubmitJob(Submission(job, "q", "pool", "", (step,)))
@@ -356,14 +379,16 @@
 def would_move_in_hall(context):
     box = better(context)
     # Without the hall's closing the idle box of h1 ranks as well as that of h2.
-    assert box is not None and box.entry.hall == "h2" and box.life != context.at
+    assert box is not None and box.entry.hall == "h2" and box.incarnation != context.at
 
 
 @when("the box in h1 says that it is cold")
 def cold(context):
     world = context.world
-    life = next(life for life, hall in context.hall_of.items() if hall == "h1")
-    world.entries[life] = world.entries[life]._replace(cold=True)
+    incarnation = next(
+        incarnation for incarnation, hall in context.hall_of.items() if hall == "h1"
+    )
+    world.entries[incarnation] = world.entries[incarnation]._replace(cold=True)
     world.advance(0.1)
 
 
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -88,7 +88,7 @@
         self.feed = BoxFeed(sources, self.decider, self.apply, self.log)
 
     def apply(self, decisions):
-        self.watched += [d.life for d in decisions if isinstance(d, WatchBox)]
+        self.watched += [d.incarnation for d in decisions if isinstance(d, WatchBox)]
 
     def begin(self, *records):
         self.feed.begin(Newest(records, 0))
@@ -98,7 +98,7 @@
 
     def used(self):
         boxes = self.decider.state.boxes
-        return sorted(life for life, box in boxes.items() if box.listed)
+        return sorted(incarnation for incarnation, box in boxes.items() if box.listed)
 
 
 @when("the list of boxes holds a sound entry and one {what}")
--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -64,16 +64,16 @@
         for decider in self.deciders:
             decider.configured(Config(1, QUEUES, {"pool": True}, 262144))
         self.list()
-        for life in list(self.entries):
-            self.look(life)
+        for incarnation in list(self.entries):
+            self.look(incarnation)
 
     def add_box(self, number):
-        life = f"{number:04}"
+        incarnation = f"{number:04}"
         rack = f"r{number % 4}"
         size = self.random.choice((1.0, 1.0, 1.5))
-        self.entries[life] = BoxEntry(
-            life,
-            f"{life}:1",
+        self.entries[incarnation] = BoxEntry(
+            incarnation,
+            f"{incarnation}:1",
             self.random.choice(("pool", "pool", "pool", "far")),
             "h",
             rack,
@@ -84,7 +84,11 @@
             False,
             None,
         )
-        self.running[life], self.ended[life], self.counts[life] = {}, [], 0
+        self.running[incarnation], self.ended[incarnation], self.counts[incarnation] = (
+            {},
+            [],
+            0,
+        )
 
     def list(self):
         for decider in self.deciders:
@@ -105,16 +109,18 @@
     def obey(self, order):
         if isinstance(order, AskAdvice):
             good = {
-                life: f"t{life}" for life in order.lives if self.random.random() < 0.5
+                incarnation: f"t{incarnation}"
+                for incarnation in order.incarnations
+                if self.random.random() < 0.5
             }
             advice = Advice(good, 0.9)
             self.both(lambda decider: decider.advised(order, advice, self.now))
         elif isinstance(order, StopTask):
-            self.end(order.life, order.task, order.run, "stopped")
+            self.end(order.incarnation, order.task, order.run, "stopped")
             accepted = OrderAccepted(int(self.now * 1000))
             self.both(
                 lambda d: d.stop_answered(
-                    order.life, order.task, order.run, accepted, self.now
+                    order.incarnation, order.task, order.run, accepted, self.now
                 )
             )
         else:
@@ -127,19 +133,21 @@
         if draw < 0.05:
             outcome = OrderRejected(self.random.choice(("room", "unhealthy")))
         else:
-            self.running[order.life][order.task] = order.run
+            self.running[order.incarnation][order.task] = order.run
         self.both(
             lambda d: d.start_answered(
-                order.life, order.task, order.run, outcome, self.now
+                order.incarnation, order.task, order.run, outcome, self.now
             )
         )
 
-    def end(self, life, task, run, how):
-        if self.running.get(life, {}).get(task) != run:
+    def end(self, incarnation, task, run, how):
+        if self.running.get(incarnation, {}).get(task) != run:
             return
-        del self.running[life][task]
-        self.counts[life] += 1
-        self.ended[life].append(EndedRun(self.counts[life], task, run, how, ""))
+        del self.running[incarnation][task]
+        self.counts[incarnation] += 1
+        self.ended[incarnation].append(
+            EndedRun(self.counts[incarnation], task, run, how, "")
+        )
 
     def step(self, number):
         draw = self.random
@@ -171,28 +179,28 @@
         submission = Submission(job, queue.name, queue.service, "s", steps)
         self.both(lambda decider: decider.called(job, SubmitJob(submission), self.now))
 
-    def figure(self, life, task):
+    def figure(self, incarnation, task):
         spec = self.deciders[0].state.find_task(task).spec
         if spec.target_ms:
-            busy = 0.3 + 0.06 * len(self.running[life])
+            busy = 0.3 + 0.06 * len(self.running[incarnation])
             return round(0.22 * spec.target_ms / max(0.1, 1.0 - busy))
         return spec.cpu
 
-    def look(self, life):
+    def look(self, incarnation):
         draw = self.random.random()
         if draw < 0.04:
             outcome = BoxNoAnswer("cut")
         else:
             rows = tuple(
-                RunningTask(task, run, "", 50, self.figure(life, task))
-                for task, run in self.running[life].items()
+                RunningTask(task, run, "", 50, self.figure(incarnation, task))
+                for task, run in self.running[incarnation].items()
             )
-            outcome = Look(int(self.now * 1000), rows, tuple(self.ended[life]))
+            outcome = Look(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
         for decider in self.deciders:
-            decider.fleet.plan_look(life, self.now, True)
+            decider.fleet.plan_look(incarnation, self.now, True)
         at = self.now
-        self.both(lambda decider: decider.fleet.looked(life, at, at, outcome))
-        self.ended[life].clear()
+        self.both(lambda decider: decider.fleet.looked(incarnation, at, at, outcome))
+        self.ended[incarnation].clear()
 
     def tick(self):
         draw = self.random
@@ -202,20 +210,20 @@
         if self.jobs and draw.random() < 0.08:
             job = draw.choice(self.jobs)
             self.both(lambda decider: decider.called("c", CancelJob(job), self.now))
-        for life, tasks in self.running.items():
+        for incarnation, tasks in self.running.items():
             for task, run in list(tasks.items()):
                 spec = self.deciders[0].state.find_task(task)
                 if spec is None or draw.random() < 0.06:
                     how = "failed" if draw.random() < 0.2 else "done"
-                    self.end(life, task, run, how)
-        for life in list(self.entries):
+                    self.end(incarnation, task, run, how)
+        for incarnation in list(self.entries):
             if draw.random() < 0.2:
-                self.look(life)
+                self.look(incarnation)
         if draw.random() < 0.03:
-            life = draw.choice(list(self.entries))
-            entry = self.entries[life]
+            incarnation = draw.choice(list(self.entries))
+            entry = self.entries[incarnation]
             gone = entry._replace(draining=not entry.draining, leaving_in_s=3.0)
-            self.entries[life] = gone
+            self.entries[incarnation] = gone
             self.list()
         if draw.random() < 0.02:
             self.add_box(1000 + len(self.counts))
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -83,11 +83,11 @@
         self.decider = Decider(terms, self.now)
         queue = Queue("q", "h", "/q/", "pool", 0, 3, 2.0, 1000.0)
         self.decider.configured(Config(1, (queue,), {}, 1000))
-        lives = [f"b{number:02}" for number in range(boxes)]
+        incarnations = [f"b{number:02}" for number in range(boxes)]
         entries = {
-            life: BoxEntry(
-                life,
-                life,
+            incarnation: BoxEntry(
+                incarnation,
+                incarnation,
                 "pool",
                 "h",
                 "r",
@@ -98,17 +98,17 @@
                 False,
                 None,
             )
-            for life in lives
+            for incarnation in incarnations
         }
-        self.running = {life: {} for life in lives}
-        self.ended = {life: [] for life in lives}
-        self.counts = dict.fromkeys(lives, 0)
+        self.running = {incarnation: {} for incarnation in incarnations}
+        self.ended = {incarnation: [] for incarnation in incarnations}
+        self.counts = dict.fromkeys(incarnations, 0)
         self.ends = []
         self.jobs = {}
         self.most_starts = ANY_NUMBER
         self.decider.fleet.listed(entries, self.now)
-        for life in lives:
-            self.look(life)
+        for incarnation in incarnations:
+            self.look(incarnation)
 
     def submit(self, tasks):
         job = f"{len(self.jobs):016x}"
@@ -127,17 +127,17 @@
     def take(self, decisions):
         for decision in decisions:
             if isinstance(decision, StartTask):
-                self.running[decision.life][decision.task] = decision.run
+                self.running[decision.incarnation][decision.task] = decision.run
                 end = (
                     self.now + self.TASK_S,
-                    decision.life,
+                    decision.incarnation,
                     decision.task,
                     decision.run,
                 )
                 heapq.heappush(self.ends, end)
                 self.take(
                     self.decider.start_answered(
-                        decision.life,
+                        decision.incarnation,
                         decision.task,
                         decision.run,
                         OrderAccepted(1),
@@ -147,26 +147,28 @@
             elif isinstance(decision, StopTask):
                 raise AssertionError(decision)
             elif isinstance(decision, EndsKnown):
-                self.ended[decision.life].clear()
+                self.ended[decision.incarnation].clear()
 
-    def look(self, life):
+    def look(self, incarnation):
         rows = tuple(
             RunningTask(task, run, "", 50, float(self.TASK_CPU))
-            for task, run in self.running[life].items()
+            for task, run in self.running[incarnation].items()
         )
-        look = Look(int(self.now * 1000), rows, tuple(self.ended[life]))
-        self.decider.fleet.plan_look(life, self.now, True)
-        self.take(self.decider.fleet.looked(life, self.now, self.now, look))
+        look = Look(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
+        self.decider.fleet.plan_look(incarnation, self.now, True)
+        self.take(self.decider.fleet.looked(incarnation, self.now, self.now, look))
 
     def tick(self, decide=True):
         self.now += 0.1
         while self.ends and self.ends[0][0] <= self.now:
-            _, life, task, run = heapq.heappop(self.ends)
-            del self.running[life][task]
-            self.counts[life] += 1
-            self.ended[life].append(EndedRun(self.counts[life], task, run, "done", ""))
-        for life in self.running:
-            self.look(life)
+            _, incarnation, task, run = heapq.heappop(self.ends)
+            del self.running[incarnation][task]
+            self.counts[incarnation] += 1
+            self.ended[incarnation].append(
+                EndedRun(self.counts[incarnation], task, run, "done", "")
+            )
+        for incarnation in self.running:
+            self.look(incarnation)
         if decide:
             self.take(self.decider.decide(self.now, 0, self.most_starts))
 
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -43,7 +43,9 @@
 @then("it runs on another box within {seconds:g} seconds of when it went dark")
 def runs_on_another(context, seconds):
     world = context.world
-    others = [box for life, box in world.boxes.items() if life != context.dark]
+    others = [
+        box for incarnation, box in world.boxes.items() if incarnation != context.dark
+    ]
     while not any(box.running for box in others) and world.now - context.since < 20.0:
         world.advance(0.05)
     took = world.now - context.since
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -12,8 +12,8 @@
 from granitetrestle.decider import Decider
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StopTask
+from granitetrestle.incarnations import box_id_of
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.lives import box_id_of
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import BoxReplaced
 from granitetrestle.outside import Look
@@ -32,10 +32,10 @@
 NOTHING = Look(100, (), ())
 
 
-def entry(life):
+def entry(incarnation):
     room = (8000, 8000, 0)
     return BoxEntry(
-        life,
+        incarnation,
         "b:1",
         "pool",
         "h",
@@ -44,7 +44,7 @@
         *room,
         False,
         None,
-        box_id=box_id_of(life),
+        box_id=box_id_of(incarnation),
     )
 
 
@@ -54,35 +54,37 @@
     return decider
 
 
-def listed(decider, life, now):
-    return decider.fleet.listed({life: entry(life)}, now)
+def listed(decider, incarnation, now):
+    return decider.fleet.listed({incarnation: entry(incarnation)}, now)
 
 
 def decided(decider, now):
     return decider.decide(now, int(now * 1000))
 
 
-@given("a decider that placed a task on the life {life} of box b, alone in its list")
-def placed(context, life):
+@given(
+    "a decider that placed a task on the life {incarnation} of box b, alone in its list"
+)
+def placed(context, incarnation):
     decider = new_decider(0.0)
-    listed(decider, life, 0.0)
-    decider.fleet.looked(life, 0.1, 0.1, NOTHING)
+    listed(decider, incarnation, 0.0)
+    decider.fleet.looked(incarnation, 0.1, 0.1, NOTHING)
     job = Submission(JOB, "q", "pool", "s", (STEP,))
     decider.called("r", SubmitJob(job), 0.2)
     (start,) = [d for d in decided(decider, 0.2) if isinstance(d, StartTask)]
-    decider.start_answered(life, start.task, start.run, OrderAccepted(200), 0.3)
+    decider.start_answered(incarnation, start.task, start.run, OrderAccepted(200), 0.3)
     context.left = decider.take_writes()
     context.decider = decider
 
 
-def takes_over(context, life):
+def takes_over(context, incarnation):
     context.decider = decider = new_decider(1.0)
     decider.restore(context.left, 1.0)
-    context.effects = listed(decider, life, 1.0)
+    context.effects = listed(decider, incarnation, 1.0)
 
 
-def looked(context, life, outcome, now):
-    context.effects = context.decider.fleet.looked(life, now, now, outcome)
+def looked(context, incarnation, outcome, now):
+    context.effects = context.decider.fleet.looked(incarnation, now, now, outcome)
     context.effects += decided(context.decider, now)
 
 
@@ -117,10 +119,12 @@
     return [d for d in context.effects if isinstance(d, StartTask)]
 
 
-@then("at once the task is started on {life}, as run {run:d}")
-@then("the task is started on {life}, as run {run:d}")
-def started(context, life, run):
-    assert [(d.life, d.run) for d in starts(context)] == [(life, run)], context.effects
+@then("at once the task is started on {incarnation}, as run {run:d}")
+@then("the task is started on {incarnation}, as run {run:d}")
+def started(context, incarnation, run):
+    assert [(d.incarnation, d.run) for d in starts(context)] == [(incarnation, run)], (
+        context.effects
+    )
 
 
 @then("the task waits")
@@ -129,11 +133,11 @@
     assert context.decider.state.find_task(TASK).run == 1
 
 
-@then("the task runs on {life}, as run {run:d}")
-def runs(context, life, run):
+@then("the task runs on {incarnation}, as run {run:d}")
+def runs(context, incarnation, run):
     task = context.decider.state.find_task(TASK)
     assert not any(isinstance(d, StartTask | StopTask) for d in context.effects)
-    assert (task.state, task.box, task.run) == (RUNNING, life, run)
+    assert (task.state, task.box, task.run) == (RUNNING, incarnation, run)
 
 
 @when("the list shows b@2 in its place, at another address")
@@ -176,7 +180,9 @@
     context.advice = anyio.run(advisor.advise, "job.0.0", (first, second))
 
 
-@then('it was asked about b and c, and the life {life} alone has a ticket, "{ticket}"')
-def has_ticket(context, life, ticket):
+@then(
+    'it was asked about b and c, and the life {incarnation} alone has a ticket, "{ticket}"'
+)
+def has_ticket(context, incarnation, ticket):
     assert context.service.asked == ["b", "c"], context.service.asked
-    assert context.advice.tickets == {life: ticket}, context.advice
+    assert context.advice.tickets == {incarnation: ticket}, context.advice
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -226,8 +226,8 @@
     decider.evacuation.all_ordered([], (), 0.0)
     decider.evacuation.heard(0.0)
     decider.fleet.listed(world.entries, 0.0)
-    for life in world.entries:
-        decider.fleet.looked(life, 0.0, 0.1, Look(100, (), ()))
+    for incarnation in world.entries:
+        decider.fleet.looked(incarnation, 0.0, 0.1, Look(100, (), ()))
     context.good = {max(world.entries)} if which == "only the last" else set()
 
 
@@ -243,9 +243,13 @@
         now += 0.1
         for decision in decider.decide(now, int(now * 1000)):
             if isinstance(decision, AskAdvice):
-                context.asked.update(decision.lives)
-                assert len(decision.lives) <= 100, decision
-                good = {life: "t" for life in decision.lives if life in context.good}
+                context.asked.update(decision.incarnations)
+                assert len(decision.incarnations) <= 100, decision
+                good = {
+                    incarnation: "t"
+                    for incarnation in decision.incarnations
+                    if incarnation in context.good
+                }
                 decider.advised(decision, Advice(good, 1.0), now)
             elif isinstance(decision, StartTask):
                 context.starts.append(decision)
@@ -255,7 +259,7 @@
 @then("it has started there, and no box was asked about twice")
 def started_there(context):
     (start,) = context.starts
-    assert {start.life} == context.good, start
+    assert {start.incarnation} == context.good, start
     assert max(context.asked.values()) == 1, context.asked
 
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -68,7 +68,7 @@
     def start_wanted(self, order, now):
         return True
 
-    def start_answered(self, life, task, run, outcome, now):
+    def start_answered(self, incarnation, task, run, outcome, now):
         return []
 
 
@@ -102,8 +102,8 @@
 
             def order(number, fills):
                 keeper = keepers[number % len(keepers)]
-                life = f"b{number % len(keepers)}"
-                start = StartTask(life, f"{number}", 1, "s", "", "", fills)
+                incarnation = f"b{number % len(keepers)}"
+                start = StartTask(incarnation, f"{number}", 1, "s", "", "", fills)
                 tasks.start_soon(keeper.carry_out, start)
 
             for number in range(count):
@@ -218,9 +218,13 @@
     load = context.load
     (context.order,) = placed(context)
     assert load.decider.start_wanted(context.order, load.now)
-    entries = {life: box.entry for life, box in load.decider.state.boxes.items()}
-    leaving = entries[context.order.life]._replace(draining=True, leaving_in_s=4.0)
-    entries[context.order.life] = leaving
+    entries = {
+        incarnation: box.entry for incarnation, box in load.decider.state.boxes.items()
+    }
+    leaving = entries[context.order.incarnation]._replace(
+        draining=True, leaving_in_s=4.0
+    )
+    entries[context.order.incarnation] = leaving
     load.decider.fleet.listed(entries, load.now)
 
 
@@ -229,9 +233,9 @@
     decider, order, now = context.load.decider, context.order, context.load.now
     assert not decider.start_wanted(order, context.load.now)
     withdrawn = OrderNotSent("withdrawn")
-    decider.start_answered(order.life, order.task, order.run, withdrawn, now)
+    decider.start_answered(order.incarnation, order.task, order.run, withdrawn, now)
     (again,) = placed(context)
-    assert again.task == order.task and again.life != order.life
+    assert again.task == order.task and again.incarnation != order.incarnation
 
 
 @when(
@@ -251,7 +255,7 @@
     adopted = True
     silent_since = None
     tasks = ()
-    life = "b"
+    incarnation = "b"
     known = durable_known = 0
 
 
@@ -260,11 +264,11 @@
 
     class fleet:
         @staticmethod
-        def plan_look(life, now, may_renew):
+        def plan_look(incarnation, now, may_renew):
             return LookPlan("a", 0, None, 0)
 
         @staticmethod
-        def looked(life, sent, now, outcome):
+        def looked(incarnation, sent, now, outcome):
             return []
 
     class state:
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -39,10 +39,10 @@
             if isinstance(decision, StartTask):
                 load._start(decision)
         total += size(decider)
-        for life, tasks in load.running.items():
+        for incarnation, tasks in load.running.items():
             for task, (run, _) in list(tasks.items()):
-                load._end(life, task, run, "done")
-            load._look(life)
+                load._end(incarnation, task, run, "done")
+            load._look(incarnation)
         total += size(decider)
     return total
 
@@ -244,9 +244,11 @@
         for run in list(box.running.values()):
             if run.task == first.name:
                 box.end(run.task, "done", world.now)
-                context.life = box.life
-    look = world.look(leader, context.life, 0, None)
-    leader.apply(leader.decider.fleet.looked(context.life, world.now, world.now, look))
+                context.incarnation = box.incarnation
+    look = world.look(leader, context.incarnation, 0, None)
+    leader.apply(
+        leader.decider.fleet.looked(context.incarnation, world.now, world.now, look)
+    )
     records = leader.decider.take_writes()
     world.store.append(JOBS, records, Writer(leader.epoch, leader.sequence + 1))
     world.kill()
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -116,23 +116,25 @@
         return decode_entry(Record(item["key"], base64.b64decode(item["value"])))
 
     async def look(self, entry, known=0, until=None):
-        return await self._boxes.look(entry.life, entry.address, EPOCH, known, until, 0)
+        return await self._boxes.look(
+            entry.incarnation, entry.address, EPOCH, known, until, 0
+        )
 
     async def start(self, entry, task, lasts_ms):
         clock = (await self.look(entry)).clock_ms
         return await self.late_start(entry, task, lasts_ms, clock)
 
     async def late_start(self, entry, task, lasts_ms, clock):
-        order = TaskOrder(entry.life, entry.address, task, 1)
+        order = TaskOrder(entry.incarnation, entry.address, task, 1)
         until = clock + LEASE_MS
         return await self._boxes.start(order, EPOCH, str(lasts_ms), until, "", "")
 
     async def stop(self, entry, task):
-        order = TaskOrder(entry.life, entry.address, task, 1)
+        order = TaskOrder(entry.incarnation, entry.address, task, 1)
         return await self._boxes.stop(order, EPOCH)
 
     async def pace(self, entry, task):
-        order = TaskOrder(entry.life, entry.address, task, 1)
+        order = TaskOrder(entry.incarnation, entry.address, task, 1)
         return await self._boxes.pace(order, EPOCH, 10)
 
 
@@ -254,18 +256,18 @@
 
 @given("a box that was listed as born {listed}, and answers as born {answers}")
 def told_box(context, listed, answers):
-    context.life = entry_of(listed).life
+    context.incarnation = entry_of(listed).incarnation
     context.told = ToldBox(answers)
 
 
 async def start(boxes, context):
-    order = TaskOrder(context.life, context.told.address, named(1), 1)
+    order = TaskOrder(context.incarnation, context.told.address, named(1), 1)
     return await boxes.start(order, EPOCH, "10", 4000, "", "")
 
 
 async def look(boxes, context, known, until):
     told = context.told
-    return await boxes.look(context.life, told.address, EPOCH, known, until, 0)
+    return await boxes.look(context.incarnation, told.address, EPOCH, known, until, 0)
 
 
 @when("a first look, a start and a look that confirms ends each come as first to it")
@@ -365,4 +367,4 @@
     if isinstance(entry, MalformedEntry):
         assert taken == f"refused, naming {entry.key}", entry
     else:
-        assert taken == f"of the life {entry.life} of box {entry.box_id}", entry
+        assert taken == f"of the life {entry.incarnation} of box {entry.box_id}", entry
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -296,14 +296,14 @@
     model = world.boxes.models["b0"]
     look = world.boxes.look
 
-    async def look_unless_first(life, address, token, *rest):
+    async def look_unless_first(incarnation, address, token, *rest):
         # Nothing ends while the first decider starts, so that none of it is noted.
         if token == 1:
             seen = model.look(0, rest[1], token, time.monotonic())
             await anyio.sleep(0.05)
             return seen
         await anyio.sleep(ON_THE_WAY_S)
-        return await look(life, address, token, *rest)
+        return await look(incarnation, address, token, *rest)
 
     world.boxes.look = look_unless_first
     anyio.run(script)
@@ -317,9 +317,11 @@
     assert not again, f"{len(again)} tasks that were done were started again: {again}"
 
 
-def entry(life):
+def entry(incarnation):
     room = (8000, 8000, 0)
-    return BoxEntry(life, "a:1", "pool", "h", "r", frozenset(), *room, False, None)
+    return BoxEntry(
+        incarnation, "a:1", "pool", "h", "r", frozenset(), *room, False, None
+    )
 
 
 @given("a box whose earlier life ended, and whose present life runs a task")
@@ -334,7 +336,7 @@
     decider.fleet.looked("second", 1.1, 1.1, Look(100, (), ()))
     decider.called("r", SubmitJob(submission(1, 100)), 1.2)
     (start,) = [d for d in decider.decide(1.2, 1200) if isinstance(d, StartTask)]
-    assert start.life == "second", start
+    assert start.incarnation == "second", start
     running = (RunningTask(start.task, start.run, "", 10, 0.0),)
     decider.fleet.looked("second", 1.3, 1.3, Look(300, running, ()))
 
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -71,11 +71,11 @@
         self.decider.fleet.listed(self.entries, self.now)
         self.ends = 0
         self.notes = []
-        for life in self.entries:
-            self.look(life)
+        for incarnation in self.entries:
+            self.look(incarnation)
 
-    def look(self, life, ended=()):
-        box = self.decider.state.boxes[life]
+    def look(self, incarnation, ended=()):
+        box = self.decider.state.boxes[incarnation]
         over = {row.task for row in ended}
         running = tuple(
             RunningTask(task.name, task.run, "", 0, 0.0)
@@ -83,7 +83,7 @@
             if task.name not in over
         )
         outcome = Look(1000, running, tuple(ended))
-        self.take(self.decider.fleet.looked(life, self.now, self.now, outcome))
+        self.take(self.decider.fleet.looked(incarnation, self.now, self.now, outcome))
 
     def end(self, task, how):
         self.ends += 1
@@ -94,7 +94,7 @@
         for decision in decisions:
             if isinstance(decision, StartTask):
                 self.decider.start_answered(
-                    decision.life,
+                    decision.incarnation,
                     decision.task,
                     decision.run,
                     OrderAccepted(1),
@@ -381,7 +381,7 @@
     desk = context.desk = Desk(1)
     workflow = desk.submit("job", Step(count=2, cpu=1000, memory_mb=10))
     context.task, context.other = workflow.tasks.values()
-    context.life = context.task.box
+    context.incarnation = context.task.box
     # As after its lease must have lapsed.
     Progress(desk.decider.state).requeue(context.task, desk.now)
 
@@ -390,7 +390,9 @@
 def listed_done(context):
     desk = context.desk
     desk.ends += 1
-    desk.look(context.life, [EndedRun(desk.ends, context.task.name, 1, "done", "")])
+    desk.look(
+        context.incarnation, [EndedRun(desk.ends, context.task.name, 1, "done", "")]
+    )
 
 
 @then("the next pass starts nothing, and the job completes with the other task")
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -59,8 +59,8 @@
     context.job = world.submit(ONE)
     world.advance(0.1)
     tasks = world.leader.decider.state.workflows[context.job].tasks.values()
-    for life in {task.box for task in tasks}:
-        world.cut[life] = world.now + 5.0
+    for incarnation in {task.box for task in tasks}:
+        world.cut[incarnation] = world.now + 5.0
     world.advance(4.9)
 
 
@@ -170,14 +170,14 @@
     queue = CONFIG.queues[0]._replace(advised=True)
     decider.configured(CONFIG._replace(queues=(queue,)))
     decider.fleet.listed(world.entries, 0.0)
-    for life in world.entries:
-        decider.fleet.looked(life, 0.0, 0.1, Look(100, (), ()))
+    for incarnation in world.entries:
+        decider.fleet.looked(incarnation, 0.0, 0.1, Look(100, (), ()))
     decider.called("r", SubmitJob(Submission("1", "q", "pool", "", ONE)), 0.2)
     (asked,) = decider.decide(0.3, 0)
-    assert isinstance(asked, AskAdvice) and len(asked.lives) == 3, asked
+    assert isinstance(asked, AskAdvice) and len(asked.incarnations) == 3, asked
     assert decider.decide(0.4, 0) == []
-    context.life = asked.lives[1]
-    decider.advised(asked, Advice({context.life: "good-ticket"}, 3.0), 0.5)
+    context.incarnation = asked.incarnations[1]
+    decider.advised(asked, Advice({context.incarnation: "good-ticket"}, 3.0), 0.5)
     context.effects = decider.decide(0.6, 0)
 
 
@@ -185,7 +185,9 @@
 def with_ticket(context):
     starts = context.effects
     assert len(starts) == 2 and all(isinstance(s, StartTask) for s in starts), starts
-    assert {(s.life, s.ticket) for s in starts} == {(context.life, "good-ticket")}
+    assert {(s.incarnation, s.ticket) for s in starts} == {
+        (context.incarnation, "good-ticket")
+    }
 
 
 @when(
@@ -247,8 +249,8 @@
     context.job = world.submit((Step(count=3, cpu=100, memory_mb=10),))
     world.advance(2.5)
     tasks = world.leader.decider.state.workflows[context.job].tasks.values()
-    for life in {task.box for task in tasks if task.box}:
-        world.cut[life] = world.now + 2.0
+    for incarnation in {task.box for task in tasks if task.box}:
+        world.cut[incarnation] = world.now + 2.0
     world.advance(4.0)
 
 
@@ -382,8 +384,8 @@
 def runs_elsewhere(context):
     context.world.advance(1.5)
     hows = {
-        life: [run.how for run in box.history]
-        for life, box in context.world.boxes.items()
+        incarnation: [run.how for run in box.history]
+        for incarnation, box in context.world.boxes.items()
     }
     assert hows.pop(context.left) == ["stopped"], hows
     assert [len(runs) for runs in hows.values()] == [1], hows
@@ -408,7 +410,7 @@
 @then("it runs on another box within {seconds:g} seconds, as if nobody had taken over")
 def runs_elsewhere(context, seconds):
     world = context.world
-    others = [world.boxes[life] for life in world.entries]
+    others = [world.boxes[incarnation] for incarnation in world.entries]
     while not any(box.running for box in others) and world.now - context.since < 10.0:
         world.advance(0.05)
     took = world.now - context.since
--- a/features/steps/unwell_steps.py
+++ b/features/steps/unwell_steps.py
@@ -21,9 +21,17 @@
 ROOM = (8000, 8000, 0)
 
 
-def entry(life):
+def entry(incarnation):
     return BoxEntry(
-        life, f"{life}:1", "pool", "h", "r", frozenset(), *ROOM, False, None
+        incarnation,
+        f"{incarnation}:1",
+        "pool",
+        "h",
+        "r",
+        frozenset(),
+        *ROOM,
+        False,
+        None,
     )
 
 
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -45,19 +45,19 @@
         self.decider = Decider(terms, self.now)
         queue = Queue("q", "h", "/q/", "pool", 0, 3, STRETCH, TARGET_S * 1000.0)
         self.decider.configured(Config(1, (queue,), {}, 1000))
-        lives = [f"b{number:02}" for number in range(boxes)]
-        self.running = {life: {} for life in lives}
-        self.ended = {life: [] for life in lives}
-        self.counts = dict.fromkeys(lives, 0)
+        incarnations = [f"b{number:02}" for number in range(boxes)]
+        self.running = {incarnation: {} for incarnation in incarnations}
+        self.ended = {incarnation: [] for incarnation in incarnations}
+        self.counts = dict.fromkeys(incarnations, 0)
         self.ends = []
         self.lasts = {}
         self.came = {}
         entries = {
-            life: BoxEntry(
-                *(life, life, "pool", "h", "r", frozenset()),
+            incarnation: BoxEntry(
+                *(incarnation, incarnation, "pool", "h", "r", frozenset()),
                 *(BOX_CPU, 10**6, 0, False, None),
             )
-            for life in lives
+            for incarnation in incarnations
         }
         self.decider.fleet.listed(entries, self.now)
         self.play(random.Random(1), boxes * BOX_CPU / TASK_CPU, load)
@@ -99,18 +99,20 @@
     def tick(self):
         self.now += TICK_S
         while self.ends and self.ends[0][0] <= self.now:
-            _, life, task, run = heapq.heappop(self.ends)
-            del self.running[life][task]
-            self.counts[life] += 1
-            self.ended[life].append(EndedRun(self.counts[life], task, run, "done", ""))
-        for life, running in self.running.items():
+            _, incarnation, task, run = heapq.heappop(self.ends)
+            del self.running[incarnation][task]
+            self.counts[incarnation] += 1
+            self.ended[incarnation].append(
+                EndedRun(self.counts[incarnation], task, run, "done", "")
+            )
+        for incarnation, running in self.running.items():
             rows = tuple(
                 RunningTask(task, run, "", 50, float(TASK_CPU))
                 for task, run in running.items()
             )
-            look = Look(int(self.now * 1000), rows, tuple(self.ended[life]))
-            self.decider.fleet.plan_look(life, self.now, True)
-            self.take(self.decider.fleet.looked(life, self.now, self.now, look))
+            look = Look(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
+            self.decider.fleet.plan_look(incarnation, self.now, True)
+            self.take(self.decider.fleet.looked(incarnation, self.now, self.now, look))
         self.take(self.decider.decide(self.now, 0))
 
     def take(self, decisions):
@@ -118,15 +120,15 @@
             if isinstance(decision, StartTask):
                 self.start(decision)
             elif isinstance(decision, EndsKnown):
-                self.ended[decision.life].clear()
+                self.ended[decision.incarnation].clear()
 
     def start(self, order):
-        self.running[order.life][order.task] = order.run
+        self.running[order.incarnation][order.task] = order.run
         ends = self.now + self.lasts[order.task.split(".")[0]]
-        heapq.heappush(self.ends, (ends, order.life, order.task, order.run))
+        heapq.heappush(self.ends, (ends, order.incarnation, order.task, order.run))
         self.take(
             self.decider.start_answered(
-                order.life, order.task, order.run, OrderAccepted(1), self.now
+                order.incarnation, order.task, order.run, OrderAccepted(1), self.now
             )
         )
 
--- a/src/granitetrestle/boxes.py
+++ b/src/granitetrestle/boxes.py
@@ -120,9 +120,9 @@
         self._quarantine_s = QUARANTINE_S
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The life that orders name."""
-        return self.entry.life
+        return self.entry.incarnation
 
     @property
     def reachable(self) -> bool:
--- a/src/granitetrestle/boxindex.py
+++ b/src/granitetrestle/boxindex.py
@@ -30,26 +30,26 @@
 
     def set(self, box: "BoxView", is_open: bool, is_aside: bool = False) -> None:
         """Take up a change of a box."""
-        life = box.life
+        incarnation = box.incarnation
         if is_aside:
-            self.aside[life] = box
+            self.aside[incarnation] = box
         else:
-            self.aside.pop(life, None)
+            self.aside.pop(incarnation, None)
         if is_open:
-            self.boxes[life] = box
-        elif self.boxes.pop(life, None) is None:
+            self.boxes[incarnation] = box
+        elif self.boxes.pop(incarnation, None) is None:
             return
         self.sequence += 1
-        self._changed[life] = self.sequence
-        self._changed.move_to_end(life)
+        self._changed[incarnation] = self.sequence
+        self._changed.move_to_end(incarnation)
 
     def changed_since(self, sequence: int) -> list[str]:
         """Return the lives that changed after ``sequence``, newest first."""
         changed = []
-        for life, at in reversed(self._changed.items()):
+        for incarnation, at in reversed(self._changed.items()):
             if at <= sequence:
                 break
-            changed.append(life)
+            changed.append(incarnation)
         return changed
 
 
@@ -65,16 +65,18 @@
         self.pool = pool
         self._suits = suits
         self._seen = pool.sequence
-        self.boxes = {life: box for life, box in pool.boxes.items() if suits(box)}
+        self.boxes = {
+            incarnation: box for incarnation, box in pool.boxes.items() if suits(box)
+        }
 
     def refresh(self) -> "t.Collection[BoxView]":
         """Return them as they are now."""
-        for life in self.pool.changed_since(self._seen):
-            box = self.pool.boxes.get(life)
+        for incarnation in self.pool.changed_since(self._seen):
+            box = self.pool.boxes.get(incarnation)
             if box is not None and self._suits(box):
-                self.boxes[life] = box
+                self.boxes[incarnation] = box
             else:
-                self.boxes.pop(life, None)
+                self.boxes.pop(incarnation, None)
         self._seen = self.pool.sequence
         return self.boxes.values()
 
@@ -97,12 +99,12 @@
 
     def touched(self, box: "BoxView") -> None:
         """Note that a box has changed."""
-        self._touched[box.life] = box
+        self._touched[box.incarnation] = box
 
     def removed(self, box: "BoxView") -> None:
         """Forget a box."""
-        self._touched.pop(box.life, None)
-        service = self._pool_of.pop(box.life, None)
+        self._touched.pop(box.incarnation, None)
+        service = self._pool_of.pop(box.incarnation, None)
         if service is not None:
             self._pools[service].set(box, False)
 
@@ -114,17 +116,17 @@
         """Take up all changes until now."""
         while self._reopen and self._reopen[0][0] <= now:
             _, _, box = heapq.heappop(self._reopen)
-            if box.life in self._pool_of:
-                self._touched[box.life] = box
+            if box.incarnation in self._pool_of:
+                self._touched[box.incarnation] = box
         if not self._touched:
             return
         touched, self._touched = self._touched, {}
-        for life, box in touched.items():
+        for incarnation, box in touched.items():
             service = box.entry.service
-            before = self._pool_of.get(life, service)
+            before = self._pool_of.get(incarnation, service)
             if before != service:
                 self._pools[before].set(box, False)
-            self._pool_of[life] = service
+            self._pool_of[incarnation] = service
             pool = self.pool(service)
             pool.set(box, box.open_for_work(now), box.is_aside(now))
             if box.closed_until > now:
--- a/src/granitetrestle/boxlife.py
+++ b/src/granitetrestle/boxlife.py
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        life: str,
+        incarnation: str,
         address: str,
         epoch: int,
         boxes: BoxCalls,
@@ -72,7 +72,7 @@
         self._budget = budget
         self._window = window
         self._lag = lag
-        self._life = life
+        self._incarnation = incarnation
         self._address = address
         self._epoch = epoch
         self._boxes = boxes
@@ -90,7 +90,7 @@
 
     def ends_durable(self, number: int) -> None:
         """The box may forget ends up to ``number``."""
-        box = self._decider.state.boxes.get(self._life)
+        box = self._decider.state.boxes.get(self._incarnation)
         if box is not None:
             box.durable_known = max(box.durable_known, number)
             self._durable.set()
@@ -99,12 +99,12 @@
         """Look at the box until it is left."""
         with self._left:
             await self._look_on()
-        self._budget.forget(self._life)
+        self._budget.forget(self._incarnation)
 
     async def _look_on(self) -> None:
         failures = 0
         while (terms := await self._look()) is not None:
-            box = self._decider.state.boxes.get(self._life)
+            box = self._decider.state.boxes.get(self._incarnation)
             if box is None:
                 return
             if box.silent_since is not None:
@@ -124,7 +124,7 @@
         if it came while the last look was under way: its lease must not lapse."""
         if not terms.pause_s:
             return
-        box = self._decider.state.boxes.get(self._life)
+        box = self._decider.state.boxes.get(self._incarnation)
         busy = box is not None and bool(box.tasks)
         if busy and terms.idle:
             return
@@ -144,24 +144,26 @@
 
     async def _look(self) -> LookTerms | None:
         """Look once; returns how, or ``None`` if the box is not ours any more."""
-        box = self._decider.state.boxes.get(self._life)
+        box = self._decider.state.boxes.get(self._incarnation)
         if box is None:
             return None
         kind = self._budget.opening_kind(box)
         if kind is None:
             terms = self._budget.terms(box)
             return terms if await self._look_once(terms.waits) else None
-        async with self._budget.opening.turn(kind, self._life) as turn:
+        async with self._budget.opening.turn(kind, self._incarnation) as turn:
             if not await self._look_once(waits=False):
                 return None
-            box = self._decider.state.boxes.get(self._life)
+            box = self._decider.state.boxes.get(self._incarnation)
             answered = box is not None and box.silent_since is None
             turn.ended(answered, time.monotonic())
         return LookTerms(False, 0.0, False)
 
     async def _look_once(self, waits: bool) -> bool:
         sent = time.monotonic()
-        plan = self._decider.fleet.plan_look(self._life, sent, self._right.may_renew())
+        plan = self._decider.fleet.plan_look(
+            self._incarnation, sent, self._right.may_renew()
+        )
         if plan is None:
             return False
         wait_ms = plan.wait_ms if waits else 0
@@ -169,7 +171,7 @@
             self._budget.began()
         try:
             outcome = await self._boxes.look(
-                self._life,
+                self._incarnation,
                 plan.address,
                 self._epoch,
                 plan.known,
@@ -183,7 +185,7 @@
         self._metrics.looks += 1
         if isinstance(outcome, Look) and outcome.ended:
             self._metrics.count("ends_listed", len(outcome.ended))
-        self._apply(self._decider.fleet.looked(self._life, sent, now, outcome))
+        self._apply(self._decider.fleet.looked(self._incarnation, sent, now, outcome))
         return True
 
     async def carry_out(self, order: StartTask | StopTask | PaceTask) -> None:
@@ -199,7 +201,7 @@
         self._work_came.set()
 
         async def send() -> OrderOutcome:
-            box = self._decider.state.boxes.get(self._life)
+            box = self._decider.state.boxes.get(self._incarnation)
             until = None
             if not self._decider.start_wanted(order, time.monotonic()):
                 return OrderNotSent("withdrawn")
@@ -223,7 +225,7 @@
         self._metrics.observe("order", now - began)
         self._apply(
             self._decider.start_answered(
-                self._life, order.task, order.run, outcome, now
+                self._incarnation, order.task, order.run, outcome, now
             )
         )
 
@@ -234,7 +236,7 @@
         outcome = await self._try(send, FIRST)
         self._apply(
             self._decider.stop_answered(
-                self._life, order.task, order.run, outcome, time.monotonic()
+                self._incarnation, order.task, order.run, outcome, time.monotonic()
             )
         )
 
@@ -248,7 +250,7 @@
             self._decider.pace_unanswered(order)
 
     def _order(self, order: StartTask | StopTask | PaceTask) -> TaskOrder:
-        return TaskOrder(self._life, self._address, order.task, order.run)
+        return TaskOrder(self._incarnation, self._address, order.task, order.run)
 
     async def _try(
         self, send: t.Callable[[], t.Awaitable[OrderOutcome]], kind: int
@@ -275,7 +277,7 @@
         while True:
             if rests_on_right:
                 await self._right.confirmed()
-            async with self._window.turn(kind, self._life) as turn:
+            async with self._window.turn(kind, self._incarnation) as turn:
                 if rests_on_right and not self._right.holds():
                     # Others have their turn meanwhile: without this a pace waited too.
                     continue
--- a/src/granitetrestle/boxnotes.py
+++ b/src/granitetrestle/boxnotes.py
@@ -23,7 +23,7 @@
         "ends": passed_over,
         "told_known": box.told_known,
     }
-    return [Noted("box_contradicts_itself", box.life, inputs)]
+    return [Noted("box_contradicts_itself", box.incarnation, inputs)]
 
 
 def run_lost(box: BoxView, task: Task, suspected: bool, now: float) -> Noted:
@@ -32,7 +32,7 @@
     silent_at = now if box.silent_since is None else box.silent_since
     inputs = {
         "run": task.run,
-        "box": box.life,
+        "box": box.incarnation,
         "answered": bool(task.running_since),
         "suspected": suspected,
         "suspicion": task.suspicion,
--- a/src/granitetrestle/boxsearch.py
+++ b/src/granitetrestle/boxsearch.py
@@ -157,19 +157,20 @@
             return None
         box = heapq.heappop(self._heap)[2]
         self._taken = box
-        self._changed.add(box.life)
+        self._changed.add(box.incarnation)
         return box
 
     def taken(self, box: BoxView) -> None:
         # Its room would count as before, and the rack that holds the data as not full.
-        self._changed.add(box.life)
+        self._changed.add(box.incarnation)
         self._heap = None
 
     def able(self) -> list[BoxView]:
         return [
             box
             for box in self._able.refresh()
-            if box.life not in self._changed or suits(self._step, self._task, box)
+            if box.incarnation not in self._changed
+            or suits(self._step, self._task, box)
         ]
 
     def _ranked(self) -> list[tuple[Rank, str, BoxView]]:
@@ -178,7 +179,7 @@
         for box in boxes:
             rank = self._ranking.of(box)
             if rank is not None:
-                heap.append((rank, box.life, box))
+                heap.append((rank, box.incarnation, box))
         heapq.heapify(heap)
         return heap
 
@@ -188,4 +189,4 @@
             return
         rank = self._ranking.of(box)
         if rank is not None:
-            heapq.heappush(self._heap, (rank, box.life, box))
+            heapq.heappush(self._heap, (rank, box.incarnation, box))
--- a/src/granitetrestle/crashloops.py
+++ b/src/granitetrestle/crashloops.py
@@ -174,23 +174,27 @@
         :param boxes: all that are open for work.
         """
         self._now = now
-        self._kept = {life: until for life, until in self._kept.items() if until > now}
+        self._kept = {
+            incarnation: until
+            for incarnation, until in self._kept.items()
+            if until > now
+        }
         self._most = math.ceil(TRIAL_SHARE * len(boxes))
         self._just_begun.clear()
         for box in boxes:
             for task in box.tasks.values():
                 if now - _began(task) <= JUST_BEGUN_S:
-                    self._just_begun[box.life] += 1
+                    self._just_begun[box.incarnation] += 1
 
     def rank(self, box: BoxView) -> tuple[int, int, str]:
         """Return how well a box suits a suspect, the least being best: where a crash
         would tell most, and take least along."""
-        return (self._just_begun[box.life], len(box.tasks), box.life)
+        return (self._just_begun[box.incarnation], len(box.tasks), box.incarnation)
 
     def started(self, box: BoxView) -> None:
         """Keep a box for the suspect that goes there, for as long as it takes to tell,
         unless too many are kept."""
-        self._just_begun[box.life] += 1
+        self._just_begun[box.incarnation] += 1
         if len(self._kept) < self._most:
-            self._kept[box.life] = self._now + JUST_BEGUN_S
-            box.closed_until = max(box.closed_until, self._kept[box.life])
+            self._kept[box.incarnation] = self._now + JUST_BEGUN_S
+            box.closed_until = max(box.closed_until, self._kept[box.incarnation])
--- a/src/granitetrestle/decider.py
+++ b/src/granitetrestle/decider.py
@@ -248,9 +248,9 @@
         leaves or its room shrank, or its data hall was evacuated, or nobody knows whether
         it was."""
         task = self._state.find_task(order.task)
-        if task is None or task.run != order.run or task.box != order.life:
+        if task is None or task.run != order.run or task.box != order.incarnation:
             return False
-        box = self._state.boxes.get(order.life)
+        box = self._state.boxes.get(order.incarnation)
         if box is not None and (box.entry.draining or box.evacuated or box.over_room):
             return False
         wanted = task.state == STARTING and self._evacuation.up_to_date(now)
@@ -258,30 +258,30 @@
         return wanted
 
     def start_answered(
-        self, life: str, name: str, run: int, outcome: OrderOutcome, now: float
+        self, incarnation: str, name: str, run: int, outcome: OrderOutcome, now: float
     ) -> list[Decision]:
         """Apply what came of a start; ``BoxNoAnswer`` leaves it in doubt."""
         task = self._state.find_task(name)
-        current = task is not None and task.run == run and task.box == life
+        current = task is not None and task.run == run and task.box == incarnation
         if isinstance(outcome, BoxReplaced):
             if task is not None and current:
                 task.sent = outcome.reached
-            return self._fleet.box_over(life, "another life answered", now)
+            return self._fleet.box_over(incarnation, "another life answered", now)
         if task is None or not current:
             return []
         if isinstance(outcome, OrderAccepted):
             if task.state == STARTING:
                 task.runs(now)
-                box = self._state.boxes.get(life)
+                box = self._state.boxes.get(incarnation)
                 if box is not None and task.spec.fills and box.serving:
                     # What it disturbs should not wait for the next look.
                     return self._fleet.repace(box, now)
             return []
         if isinstance(outcome, OrderRejected):
-            return self._start_rejected(life, task, outcome, now)
+            return self._start_rejected(incarnation, task, outcome, now)
         if task.state != STARTING:
             return []
-        inputs = {"run": run, "box": life, "reason": outcome.reason}
+        inputs = {"run": run, "box": incarnation, "reason": outcome.reason}
         if isinstance(outcome, OrderNotSent):
             self._progress.requeue(task, now)
             noted = Noted("start_withdrawn", name, inputs)
@@ -303,15 +303,15 @@
         return effects
 
     def _start_rejected(
-        self, life: str, task: Task, outcome: OrderRejected, now: float
+        self, incarnation: str, task: Task, outcome: OrderRejected, now: float
     ) -> list[Decision]:
         if outcome.reason == "fence":
-            return [StepDown(life)]
+            return [StepDown(incarnation)]
         if task.state not in (STARTING, STOPPING):
             return []
-        inputs = {"run": task.run, "box": life, "reason": outcome.reason}
+        inputs = {"run": task.run, "box": incarnation, "reason": outcome.reason}
         self._progress.requeue(task, now)
-        box = self._state.boxes.get(life)
+        box = self._state.boxes.get(incarnation)
         if box is not None:
             unwell = outcome.reason == "unhealthy"
             pause = PAUSE_UNHEALTHY_S if unwell else PAUSE_AFTER_REFUSAL_S
@@ -319,15 +319,15 @@
         return [Noted("start_rejected", task.name, inputs)]
 
     def stop_answered(
-        self, life: str, name: str, run: int, outcome: OrderOutcome, now: float
+        self, incarnation: str, name: str, run: int, outcome: OrderOutcome, now: float
     ) -> list[Decision]:
         """Apply what came of a stop."""
         if isinstance(outcome, BoxReplaced):
-            return self._fleet.box_over(life, "another life answered", now)
+            return self._fleet.box_over(incarnation, "another life answered", now)
         if isinstance(outcome, OrderRejected) and outcome.reason == "fence":
-            return [StepDown(life)]
+            return [StepDown(incarnation)]
         task = self._state.find_task(name)
-        current = task is not None and task.run == run and task.box == life
+        current = task is not None and task.run == run and task.box == incarnation
         # A box that says it is unwell has done nothing: an order to start that got no answer
         # may be carried out still, after another run is done.
         refused = isinstance(outcome, OrderRejected) and outcome.reason != "unhealthy"
--- a/src/granitetrestle/decisions.py
+++ b/src/granitetrestle/decisions.py
@@ -32,7 +32,7 @@
 class StartTask(t.NamedTuple):
     """Order a run. Gated: a successor must know of every run that may exist."""
 
-    life: str
+    incarnation: str
     task: str
     run: int
     spec: str
@@ -44,7 +44,7 @@
 class StopTask(t.NamedTuple):
     """Order the end of a run, or that it never begins. Gated."""
 
-    life: str
+    incarnation: str
     task: str
     run: int
 
@@ -52,7 +52,7 @@
 class EndsKnown(t.NamedTuple):
     """A box may forget ends up to ``number``. Gated."""
 
-    life: str
+    incarnation: str
     number: int
 
 
@@ -62,14 +62,14 @@
     :param change: number of this change.
     """
 
-    life: str
+    incarnation: str
     change: int
 
 
 class PaceTask(t.NamedTuple):
     """Let a run work at a share of its speed."""
 
-    life: str
+    incarnation: str
     task: str
     run: int
     percent: int
@@ -81,26 +81,26 @@
     job: str
     occurrence: int
     step: int
-    lives: tuple[str, ...]
+    incarnations: tuple[str, ...]
 
 
 class WatchBox(t.NamedTuple):
     """Begin to look at a box."""
 
-    life: str
+    incarnation: str
     address: str
 
 
 class LeaveBox(t.NamedTuple):
     """Look at a box no more."""
 
-    life: str
+    incarnation: str
 
 
 class WithdrawStarts(t.NamedTuple):
     """Starts on these boxes that have not been sent are not wanted any more."""
 
-    lives: frozenset[str]
+    incarnations: frozenset[str]
 
 
 class StepDown(t.NamedTuple):
--- a/src/granitetrestle/dispatch.py
+++ b/src/granitetrestle/dispatch.py
@@ -222,7 +222,7 @@
                         "task": task.name,
                         "left_s": round(box.aside_until - now, 2),
                     }
-                    effects.append(Noted("box_tried", box.life, inputs))
+                    effects.append(Noted("box_tried", box.incarnation, inputs))
             if box is None:
                 # What lasts must be looked at each time: how long there has been room
                 # for it counts.
@@ -252,7 +252,7 @@
     ) -> StartTask:
         del entry.tasks[task.name]
         entry.since = entry.waits_since = now
-        task.ticket = entry.tickets.get(box.life, "")
+        task.ticket = entry.tickets.get(box.incarnation, "")
         return self._start(task, box, now)
 
     def _place_suspects(
@@ -308,7 +308,7 @@
         """Return those of ``boxes`` that may run a step, where that needs advice."""
         if not self._advised(entry):
             return list(boxes)
-        return [box for box in boxes if box.life in entry.tickets]
+        return [box for box in boxes if box.incarnation in entry.tickets]
 
     def _starved(self, entry: WaitingStep, step: Step, now: float) -> bool:
         """Say whether a job that fills has had nothing running for too long."""
@@ -325,14 +325,14 @@
             candidates += pool.aside.values()
         # Which boxes are good for a step does not change. Where none of the roomiest was,
         # as among idle boxes, the same ones were asked about for ever.
-        boxes = [box for box in candidates if box.life not in entry.unfit]
+        boxes = [box for box in candidates if box.incarnation not in entry.unfit]
         if not boxes:
             entry.unfit.clear()
             boxes = candidates
-        roomy = sorted(boxes, key=lambda box: (-box.cpu_free, box.life))
-        lives = tuple(box.life for box in roomy[:ADVICE_BOXES])
+        roomy = sorted(boxes, key=lambda box: (-box.cpu_free, box.incarnation))
+        incarnations = tuple(box.incarnation for box in roomy[:ADVICE_BOXES])
         job = entry.workflow.submission.job
-        return [AskAdvice(job, entry.occurrence, entry.step, lives)]
+        return [AskAdvice(job, entry.occurrence, entry.step, incarnations)]
 
     def advised(
         self, asked: AskAdvice, advice: Advice | AdviceUnavailable, now: float
@@ -344,12 +344,12 @@
         entry = self._state.waiting.get((asked.job, asked.occurrence, asked.step))
         if entry is not None:
             entry.tickets = advice.tickets
-            entry.unfit.update(asked.lives)
+            entry.unfit.update(asked.incarnations)
             entry.unfit.difference_update(advice.tickets)
             # A start takes a while to arrive.
             valid_s = advice.valid_s * ADVICE_USED if advice.tickets else 0.0
             entry.advice_until = now + valid_s
-        inputs = {"asked": len(asked.lives), "good": len(advice.tickets)}
+        inputs = {"asked": len(asked.incarnations), "good": len(advice.tickets)}
         return [Noted("advised", name, inputs)]
 
     def _place_gang(
@@ -376,7 +376,7 @@
         entry.tasks.clear()
         for task, box in chosen:
             task.run, task.checkpoint = run, checkpoint
-            task.ticket = entry.tickets.get(box.life, "")
+            task.ticket = entry.tickets.get(box.incarnation, "")
         starts: list[Decision] = [self._start(task, box, now) for task, box in chosen]
         # Without it the room of these boxes counted as free for what came next.
         self._state.index.refresh(now)
@@ -386,7 +386,7 @@
         task.run += 1
         task.state = STARTING
         task.times.enter("order", now)
-        task.box = box.life
+        task.box = box.incarnation
         task.started_at = now
         task.sent = False
         task.running_since = 0.0
@@ -399,7 +399,7 @@
         self._state.changed(task)
         spec = task.workflow.submission.spec
         return StartTask(
-            box.life,
+            box.incarnation,
             task.name,
             task.run,
             spec,
@@ -426,7 +426,7 @@
             tries += 1
             box = self._better_box(task, now)
             if box is not None:
-                inputs = {"from": task.box, "to": box.life, "pace": task.pace}
+                inputs = {"from": task.box, "to": box.incarnation, "pace": task.pace}
                 return [
                     Noted("moved_for_targets", task.name, inputs),
                     *self._progress.stop(task, now),
--- a/src/granitetrestle/evacuation.py
+++ b/src/granitetrestle/evacuation.py
@@ -94,11 +94,11 @@
         }
         if not order.evacuated:
             return [Noted("hall_restored", order.hall, inputs)]
-        lives = frozenset(box.life for box in boxes)
-        self._ask_again(lives, now)
+        incarnations = frozenset(box.incarnation for box in boxes)
+        self._ask_again(incarnations, now)
         return [
             Noted("hall_evacuated", order.hall, inputs),
-            WithdrawStarts(lives),
+            WithdrawStarts(incarnations),
         ]
 
     def _ask_again(self, closed: frozenset[str], now: float) -> None:
--- a/src/granitetrestle/feeds.py
+++ b/src/granitetrestle/feeds.py
@@ -235,13 +235,13 @@
         """Return the boxes that are in use, or of a service that is configured, by life."""
         config = self._decider.state.config
         if config is None:
-            return {entry.life: entry for entry in self._entries.values()}
+            return {entry.incarnation: entry for entry in self._entries.values()}
         services = config.guarded.keys() | {queue.service for queue in config.queues}
         in_use = self._decider.state.boxes
         usable: dict[str, BoxEntry] = {}
         for key, entry in self._entries.items():
-            if entry.service in services or entry.life in in_use:
-                usable[entry.life] = entry
+            if entry.service in services or entry.incarnation in in_use:
+                usable[entry.incarnation] = entry
                 self._foreign.discard(key)
             else:
                 self._say_foreign(key, f"no such service: {entry.service}")
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -87,11 +87,11 @@
         """When no lease that a predecessor gave can run any more."""
         return self._inherited_ends
 
-    def inherited_ends_of(self, life: str) -> float:
+    def inherited_ends_of(self, incarnation: str) -> float:
         """Return when no lease that a predecessor gave a box can run any more. Where it
         had ceased to renew them and written that down, tasks of lost boxes wait for one
         lease, not for what it may have gone on for as well."""
-        if life in self._state.withdrawn_leases:
+        if incarnation in self._state.withdrawn_leases:
             return self._withdrawn_ends
         return self._inherited_ends
 
@@ -104,11 +104,19 @@
     ) -> Steps[list[Decision]]:
         """Take up the newest list of boxes, as a whole, a box at a step."""
         effects: list[Decision] = []
-        by_address = {entry.address: life for life, entry in entries.items()}
-        by_id = {entry.box_id: life for life, entry in entries.items() if entry.box_id}
-        order = {life: number for number, life in enumerate(self._state.boxes)}
-        for life, box in list(self._state.boxes.items()):
-            box.listed = life in entries
+        by_address = {
+            entry.address: incarnation for incarnation, entry in entries.items()
+        }
+        by_id = {
+            entry.box_id: incarnation
+            for incarnation, entry in entries.items()
+            if entry.box_id
+        }
+        order = {
+            incarnation: number for number, incarnation in enumerate(self._state.boxes)
+        }
+        for incarnation, box in list(self._state.boxes.items()):
+            box.listed = incarnation in entries
             if box.listed:
                 continue
             successor = by_id.get(box.entry.box_id) or by_address.get(box.entry.address)
@@ -116,52 +124,52 @@
             # it: what that one runs would be taken for lost, and run a second time.
             if successor is None or successor in self._ended:
                 continue
-            if order.get(successor, len(order)) > order[life]:
-                effects += self.box_over(life, f"replaced by {successor}", now)
+            if order.get(successor, len(order)) > order[incarnation]:
+                effects += self.box_over(incarnation, f"replaced by {successor}", now)
         self._ended &= entries.keys()
-        for life, entry in entries.items():
+        for incarnation, entry in entries.items():
             # One that has ended would be entered, looked at and ended anew with each list
             # while its entry stays.
-            if life not in self._ended:
-                effects += self._entered(life, entry, now)
+            if incarnation not in self._ended:
+                effects += self._entered(incarnation, entry, now)
             yield
         return effects
 
-    def _entered(self, life: str, entry: BoxEntry, now: float) -> list[Decision]:
-        box = self._state.boxes.get(life)
+    def _entered(self, incarnation: str, entry: BoxEntry, now: float) -> list[Decision]:
+        box = self._state.boxes.get(incarnation)
         if box is None:
-            ends = self.inherited_ends_of(life)
+            ends = self.inherited_ends_of(incarnation)
             box = BoxView(entry, ends, self._state.index.touched)
             box.evacuated = entry.hall in self._state.evacuated_halls
-            self._state.boxes[life] = box
+            self._state.boxes[incarnation] = box
             self._take_up_inherited(box)
-            return [WatchBox(life, entry.address)]
+            return [WatchBox(incarnation, entry.address)]
         box.evacuated = entry.hall in self._state.evacuated_halls
         if entry.draining and not box.entry.draining:
             box.described(entry)
             inputs = {"leaving_in_s": entry.leaving_in_s, "tasks": len(box.tasks)}
-            return [Noted("box_draining", life, inputs), *self._empty(box, now)]
+            return [Noted("box_draining", incarnation, inputs), *self._empty(box, now)]
         box.described(entry)
         return []
 
     def _take_up_inherited(self, box: BoxView) -> None:
         """Place what a predecessor had placed there. One that named boxes by their ids
         alone may have meant a life before; the first look tells, as of any task."""
-        for name in {box.life, box.entry.box_id}:
+        for name in {box.incarnation, box.entry.box_id}:
             for task in self._state.inherited.pop(name, ()):
                 if task.placed and task.box == name:
-                    task.box = box.life
+                    task.box = box.incarnation
                     box.place(task)
-                    if name != box.life:
+                    if name != box.incarnation:
                         self._state.changed(task)
 
-    def _lives_before(self, box: BoxView, now: float) -> list[Decision]:
+    def _incarnations_before(self, box: BoxView, now: float) -> list[Decision]:
         """Take back tasks that a predecessor had placed on other lives of a box which
         now answers: they ended before it could."""
         effects: list[Decision] = []
-        for life in self._state.inherited_lives.get(box.entry.box_id, ()):
-            if life != box.life and life in self._state.inherited:
-                effects += self._never_listed(life, now)
+        for incarnation in self._state.inherited_incarnations.get(box.entry.box_id, ()):
+            if incarnation != box.incarnation and incarnation in self._state.inherited:
+                effects += self._never_listed(incarnation, now)
         return effects
 
     def _empty(self, box: BoxView, now: float) -> list[Decision]:
@@ -181,20 +189,20 @@
         left_s = task.spec.estimate_ms / 1000.0 - (now - task.started_at)
         return left_s > leaving
 
-    def box_over(self, life: str, why: str, now: float) -> list[Decision]:
+    def box_over(self, incarnation: str, why: str, now: float) -> list[Decision]:
         """A life has ended for certain: whatever ran there runs no more."""
-        self._ended.add(life)
-        return self._gone(life, why, now)
+        self._ended.add(incarnation)
+        return self._gone(incarnation, why, now)
 
-    def _gone(self, life: str, why: str, now: float) -> list[Decision]:
+    def _gone(self, incarnation: str, why: str, now: float) -> list[Decision]:
         """Nothing runs on a box any more."""
-        box = self._state.boxes.pop(life, None)
+        box = self._state.boxes.pop(incarnation, None)
         if box is None:
             return []
         self._state.index.removed(box)
         inputs = {"why": why, "tasks_lost": len(box.tasks)}
-        noted = Noted("box_over", life, inputs)
-        return [LeaveBox(life), noted, *self._runs_lost(box, now)]
+        noted = Noted("box_over", incarnation, inputs)
+        return [LeaveBox(incarnation), noted, *self._runs_lost(box, now)]
 
     def _runs_lost(self, box: BoxView, now: float) -> list[Decision]:
         """Take all tasks off a box that was lost, and give up those that crash boxes."""
@@ -228,17 +236,22 @@
         there; else such a record would stay for every box that was ever lost."""
         leases = self._state.withdrawn_leases
         effects: list[Decision] = []
-        for life in list(leases.lives):
-            if life not in self._state.boxes and life not in self._state.inherited:
-                effects += leases.give_back(life)
+        for incarnation in list(leases.incarnations):
+            if (
+                incarnation not in self._state.boxes
+                and incarnation not in self._state.inherited
+            ):
+                effects += leases.give_back(incarnation)
         return effects
 
-    def plan_look(self, life: str, now: float, may_renew: bool) -> LookPlan | None:
+    def plan_look(
+        self, incarnation: str, now: float, may_renew: bool
+    ) -> LookPlan | None:
         """Return the next look at a box, or ``None`` if it is not ours any more.
 
         :param may_renew: whether this process was confirmed as decider of late.
         """
-        box = self._state.boxes.get(life)
+        box = self._state.boxes.get(incarnation)
         if box is None:
             return None
         undurable = box.known > box.durable_known
@@ -253,7 +266,7 @@
         """Return the end of a lease renewed now, on the box's clock in ms."""
         if not box.clock_at:
             return None
-        if box.life in self._state.withdrawn_leases or _is_long_silent(box, now):
+        if box.incarnation in self._state.withdrawn_leases or _is_long_silent(box, now):
             return None
         terms = self._state.terms
         box.lease_ends = max(box.lease_ends, now + terms.lease_bound_s)
@@ -261,14 +274,14 @@
         return box.clock_ms + int((elapsed + terms.lease_s) * 1000)
 
     def looked(
-        self, life: str, sent: float, now: float, outcome: LookOutcome
+        self, incarnation: str, sent: float, now: float, outcome: LookOutcome
     ) -> list[Decision]:
         """Apply the outcome of a look that was sent at ``sent``."""
-        box = self._state.boxes.get(life)
+        box = self._state.boxes.get(incarnation)
         if box is None:
             return []
         if isinstance(outcome, BoxReplaced):
-            return self.box_over(life, "another life answered", now)
+            return self.box_over(incarnation, "another life answered", now)
         if isinstance(outcome, Look):
             return self._seen(box, outcome, sent, now)
         if isinstance(outcome, OrderRejected):
@@ -282,7 +295,7 @@
         self, box: BoxView, outcome: OrderRejected, now: float
     ) -> list[Decision]:
         if outcome.reason == "fence":
-            return [StepDown(box.life)]
+            return [StepDown(box.incarnation)]
         return self._silent(box, outcome.reason, now)
 
     def _silent(self, box: BoxView, reason: str, now: float) -> list[Decision]:
@@ -291,27 +304,31 @@
         box.silent_since = now
         self._losses.silent(now)
         inputs = {"reason": reason, "tasks": len(box.tasks)}
-        return [Noted("box_silent", box.life, inputs)]
+        return [Noted("box_silent", box.incarnation, inputs)]
 
     def _seen(
         self, box: BoxView, look: Look, sent: float, now: float
     ) -> list[Decision]:
-        effects: list[Decision] = [*self._state.withdrawn_leases.give_back(box.life)]
+        effects: list[Decision] = [
+            *self._state.withdrawn_leases.give_back(box.incarnation)
+        ]
         box.left_answering = not box.listed
         if box.silent_since is not None:
             silent_s = round(now - box.silent_since, 2)
-            effects.append(Noted("box_answers", box.life, {"silent_s": silent_s}))
+            effects.append(
+                Noted("box_answers", box.incarnation, {"silent_s": silent_s})
+            )
             box.silent_since = None
             box.lost_at = 0.0
         effects += contradictions(box, look)
         box.clock_ms, box.clock_at = look.clock_ms, now
         for row in look.ended:
             if row.number > box.known:
-                effects += self._progress.run_ended(box.life, row, now)
+                effects += self._progress.run_ended(box.incarnation, row, now)
         known = max((row.number for row in look.ended), default=0)
         if known > box.known:
             box.known = known
-            effects.append(EndsKnown(box.life, known))
+            effects.append(EndsKnown(box.incarnation, known))
         box.running = {row.task: row for row in look.running}
         placed = len(box.tasks)
         effects += self._compare(box, sent, now)
@@ -331,8 +348,8 @@
                 "ended": len(look.ended),
                 "not_there": placed - len(box.tasks),
             }
-            effects.append(Noted("box_adopted", box.life, inputs))
-            effects += self._lives_before(box, now)
+            effects.append(Noted("box_adopted", box.incarnation, inputs))
+            effects += self._incarnations_before(box, now)
             if box.entry.draining:
                 # Its leaving was seen by a predecessor, which may not have moved all.
                 effects += self._empty(box, now)
@@ -353,7 +370,7 @@
         for task, percent in pace_changes(box, self._state.interference, now):
             task.set_pace(percent, now)
             box.version += 1
-            effects.append(PaceTask(box.life, task.name, task.run, percent))
+            effects.append(PaceTask(box.incarnation, task.name, task.run, percent))
         return effects
 
     def _compare(self, box: BoxView, sent: float, now: float) -> list[Decision]:
@@ -388,7 +405,7 @@
         inputs = {"run": run}
         return [
             Noted("unknown_run_stopped", name, inputs),
-            StopTask(box.life, name, run),
+            StopTask(box.incarnation, name, run),
         ]
 
     def _absent(
@@ -399,7 +416,7 @@
             # Orders of older epochs are refused from here on: it never began.
             inputs = {
                 "run": task.run,
-                "box": box.life,
+                "box": box.incarnation,
                 "state": STATE_NAMES[task.state],
             }
             self._progress.requeue(task, now)
@@ -431,33 +448,33 @@
             if box.silent_since is None and box.adopted:
                 continue
             if box.tasks and box.adopted and _is_long_silent(box, now):
-                self._state.withdrawn_leases.withdraw(box.life)
+                self._state.withdrawn_leases.withdraw(box.incarnation)
             if now > box.lease_ends:
                 if not box.listed:
-                    effects += self._gone(box.life, "silent past its lease", now)
+                    effects += self._gone(box.incarnation, "silent past its lease", now)
                 elif box.tasks:
                     effects += self._lapsed(box, now)
         return effects
 
     def _lapsed(self, box: BoxView, now: float) -> list[Decision]:
-        noted = Noted("leases_lapsed", box.life, {"tasks": len(box.tasks)})
+        noted = Noted("leases_lapsed", box.incarnation, {"tasks": len(box.tasks)})
         return [noted, *self._runs_lost(box, now)]
 
     def orphaned_tasks(self, now: float) -> list[Decision]:
         """Take back tasks on boxes that are not listed at all, in time. Such a box may
         have crashed under them while nobody decided."""
         effects: list[Decision] = []
-        for life in list(self._state.inherited):
-            if now > self.inherited_ends_of(life):
-                effects += self._never_listed(life, now)
+        for incarnation in list(self._state.inherited):
+            if now > self.inherited_ends_of(incarnation):
+                effects += self._never_listed(incarnation, now)
         return effects
 
-    def _never_listed(self, life: str, now: float) -> list[Decision]:
+    def _never_listed(self, incarnation: str, now: float) -> list[Decision]:
         """Nothing runs any more on a box that only a predecessor knew."""
-        tasks = self._state.inherited.pop(life)
-        there = [task for task in tasks if task.placed and task.box == life]
+        tasks = self._state.inherited.pop(incarnation)
+        there = [task for task in tasks if task.placed and task.box == incarnation]
         effects: list[Decision] = [
-            Noted("box_never_listed", life, {"tasks_lost": len(there)})
+            Noted("box_never_listed", incarnation, {"tasks_lost": len(there)})
         ]
         blame(there)
         for task in there:
--- a/src/granitetrestle/headroom.py
+++ b/src/granitetrestle/headroom.py
@@ -126,7 +126,7 @@
         for box in sorted(boxes, key=_lasting_share):
             if kept <= 0.0:
                 break
-            self._kept.add(box.life)
+            self._kept.add(box.incarnation)
             kept -= box.entry.cpu - box.cpu_used + box.short_cpu
 
     def open_to(
@@ -134,7 +134,7 @@
     ) -> list[BoxView]:
         """Leave kept boxes out, unless there was room for the task that nobody needed for
         long: its account is promised that it starts then."""
-        others = [box for box in boxes if box.life not in self._kept]
+        others = [box for box in boxes if box.incarnation not in self._kept]
         if others:
             return others
         if not boxes:
@@ -146,8 +146,8 @@
 
     def keeps(self, box: BoxView) -> bool:
         """See :meth:`Headroom.keeps`."""
-        return box.life in self._kept
+        return box.incarnation in self._kept
 
 
 def _lasting_share(box: BoxView) -> tuple[float, str]:
-    return ((box.cpu_used - box.short_cpu) / max(1, box.entry.cpu), box.life)
+    return ((box.cpu_used - box.short_cpu) / max(1, box.entry.cpu), box.incarnation)
--- a/src/granitetrestle/lives.py
+++ b/src/granitetrestle/incarnations.py
@@ -5,12 +5,12 @@
 A name is equal to another or not. Nothing tells which of two lives came first: the times
 in them are of clocks that jump, and of two sources either may be the older one."""
 
-__all__ = ["box_id_of", "is_same_life", "life_name"]
+__all__ = ["box_id_of", "is_same_incarnation", "incarnation_name"]
 
 SEPARATOR = "@"
 
 
-def life_name(box_id: str, born: int | None) -> str:
+def incarnation_name(box_id: str, born: int | None) -> str:
     """Return the name of a life.
 
     :param born: when it began, in ms since 1970, as it says itself; ``None`` if boxes of
@@ -22,14 +22,17 @@
     return f"{box_id}{SEPARATOR}{born}"
 
 
-def box_id_of(life: str) -> str:
+def box_id_of(incarnation: str) -> str:
     """Return the id of the box that a life is of."""
-    box_id, separator, _ = life.rpartition(SEPARATOR)
-    return box_id if separator else life
+    box_id, separator, _ = incarnation.rpartition(SEPARATOR)
+    return box_id if separator else incarnation
 
 
-def is_same_life(life: str, box_id: str, born: int | None) -> bool:
-    """Say whether who says of itself that it is ``box_id``, born so, is ``life``.
+def is_same_incarnation(incarnation: str, box_id: str, born: int | None) -> bool:
+    """Say whether who says of itself that it is ``box_id``, born so, is ``incarnation``.
 
     A life that is named by its id alone is whoever has that id."""
-    return life in (life_name(box_id, born), life_name(box_id, None))
+    return incarnation in (
+        incarnation_name(box_id, born),
+        incarnation_name(box_id, None),
+    )
--- a/src/granitetrestle/lastingwaits.py
+++ b/src/granitetrestle/lastingwaits.py
@@ -176,22 +176,24 @@
                 "listed": box.listed,
                 "adopted": box.adopted,
             }
-            yield Noted("lasting_waits", box.life, inputs)
+            yield Noted("lasting_waits", box.incarnation, inputs)
 
     def _unlisted(
         self, inherited_ends: t.Callable[[str], float], now: float
     ) -> t.Iterator[Noted]:
-        for life, tasks in self._state.inherited.items():
-            lasting = sum(task.spec.lasting for task in tasks if task.box == life)
+        for incarnation, tasks in self._state.inherited.items():
+            lasting = sum(
+                task.spec.lasting for task in tasks if task.box == incarnation
+            )
             if not lasting:
                 continue
             inputs = {
                 "cause": WaitCause.LEASE.value,
                 "tasks": lasting,
-                "lease_left_s": round(inherited_ends(life) - now, 2),
+                "lease_left_s": round(inherited_ends(incarnation) - now, 2),
                 "listed": False,
             }
-            yield Noted("lasting_waits", life, inputs)
+            yield Noted("lasting_waits", incarnation, inputs)
 
 
 def _ruled_out_by(
@@ -208,7 +210,7 @@
     step = entry.spec
     if not box.reachable:
         return WaitCause.NO_BOX
-    if tickets is not None and box.life not in tickets:
+    if tickets is not None and box.incarnation not in tickets:
         return WaitCause.ADVICE
     if not box.entry.labels.issuperset(step.required_labels):
         return WaitCause.LABELS
--- a/src/granitetrestle/leaserights.py
+++ b/src/granitetrestle/leaserights.py
@@ -26,8 +26,8 @@
         self._changes = 0
         self._rows: dict[str, bytes | None] = {}
 
-    def __contains__(self, life: str) -> bool:
-        return life in self._returning
+    def __contains__(self, incarnation: str) -> bool:
+        return incarnation in self._returning
 
     @property
     def waiting(self) -> bool:
@@ -35,36 +35,39 @@
         return bool(self._rows)
 
     @property
-    def lives(self) -> t.Collection[str]:
+    def incarnations(self) -> t.Collection[str]:
         """The boxes."""
         return self._returning.keys()
 
     def take(self) -> list[Record]:
         """Return what changed since the last call, as records."""
-        records = [Record(LEASE_KEY + life, row) for life, row in self._rows.items()]
+        records = [
+            Record(LEASE_KEY + incarnation, row)
+            for incarnation, row in self._rows.items()
+        ]
         self._rows.clear()
         return records
 
-    def restore(self, lives: t.Iterable[str]) -> None:
+    def restore(self, incarnations: t.Iterable[str]) -> None:
         """Take up what a predecessor wrote."""
-        self._returning.update(dict.fromkeys(lives))
+        self._returning.update(dict.fromkeys(incarnations))
 
-    def withdraw(self, life: str) -> None:
+    def withdraw(self, incarnation: str) -> None:
         """Renew no lease there any more."""
-        if self._returning.get(life, 0) is not None:
-            self._returning[life] = None
-            self._rows[life] = WITHDRAWN
+        if self._returning.get(incarnation, 0) is not None:
+            self._returning[incarnation] = None
+            self._rows[incarnation] = WITHDRAWN
 
-    def give_back(self, life: str) -> list[LeasesAgain]:
+    def give_back(self, incarnation: str) -> list[LeasesAgain]:
         """Let leases be renewed there again once that is durable."""
-        if self._returning.get(life, 0) is not None:
+        if self._returning.get(incarnation, 0) is not None:
             return []
         self._changes += 1
-        self._returning[life] = self._changes
-        self._rows[life] = None
-        return [LeasesAgain(life, self._changes)]
+        self._returning[incarnation] = self._changes
+        self._rows[incarnation] = None
+        return [LeasesAgain(incarnation, self._changes)]
 
     def given_back(self, again: LeasesAgain) -> None:
         """Note that a change is durable."""
-        if self._returning.get(again.life) == again.change:
-            del self._returning[again.life]
+        if self._returning.get(again.incarnation) == again.change:
+            del self._returning[again.incarnation]
--- a/src/granitetrestle/lookbudget.py
+++ b/src/granitetrestle/lookbudget.py
@@ -101,18 +101,18 @@
         """Return how the next look at an adopted box is made."""
         part = BUSY_PART if box.tasks else IDLE_PART
         if self._waiting < part * self._connections:
-            self._paused.discard(box.life)
+            self._paused.discard(box.incarnation)
             return LookTerms(True, 0.0, not box.tasks)
         if box.tasks:
-            self._paused.discard(box.life)
+            self._paused.discard(box.incarnation)
             return LookTerms(False, BUSY_PAUSE_S, False)
-        self._paused.add(box.life)
+        self._paused.add(box.incarnation)
         share_s = len(self._paused) / IDLE_LOOKS_PER_S
         return LookTerms(False, max(IDLE_PAUSE_S, math.ceil(share_s)), True)
 
-    def forget(self, life: str) -> None:
+    def forget(self, incarnation: str) -> None:
         """A box is not looked at any more."""
-        self._paused.discard(life)
+        self._paused.discard(incarnation)
 
     def began(self) -> None:
         """Count a look whose answer may wait."""
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -423,8 +423,8 @@
         previous = max(epochs)
         for _ in range(CATCH_UP_EPOCHS):
             epoch = next_epoch(previous, self._terms.ip)
-            life = self._terms.incarnation
-            outcome = await take_over(self._sources.store, epoch, life)
+            incarnation = self._terms.incarnation
+            outcome = await take_over(self._sources.store, epoch, incarnation)
             if isinstance(outcome, StoreUnavailable):
                 self._log.event("take_over_failed", reason=outcome.reason)
                 return
--- a/src/granitetrestle/orderwindow.py
+++ b/src/granitetrestle/orderwindow.py
@@ -54,7 +54,7 @@
 
     kind: int
     number: int
-    life: str
+    incarnation: str
     granted: anyio.Event
 
 
@@ -107,9 +107,9 @@
         return max(0, AHEAD * self.size - len(self._waiting))
 
     @contextlib.asynccontextmanager
-    async def turn(self, kind: int, life: str) -> t.AsyncIterator["Turn"]:
+    async def turn(self, kind: int, incarnation: str) -> t.AsyncIterator["Turn"]:
         """Wait for a turn to send an order of a class to a box; it ends with the block."""
-        entry = _Waiting(kind, next(self._numbers), life, anyio.Event())
+        entry = _Waiting(kind, next(self._numbers), incarnation, anyio.Event())
         heapq.heappush(self._waiting, entry)
         self._wake()
         try:
@@ -118,45 +118,47 @@
         finally:
             if entry.granted.is_set():
                 self._under_way -= 1
-                self._to_box[life] -= 1
+                self._to_box[incarnation] -= 1
             else:
                 self._withdraw(entry)
-            self._waiting_for(life)
+            self._waiting_for(incarnation)
             self._wake()
 
-    def release(self, lives: t.Collection[str]) -> None:
+    def release(self, incarnations: t.Collection[str]) -> None:
         """Let starts on these boxes have their turn now: they are not wanted any more, so
         nothing is sent, and their tasks need not wait to hear it."""
         for waiting in (self._waiting, *self._held_up.values()):
-            for entry in [e for e in waiting if e.kind != FIRST and e.life in lives]:
+            for entry in [
+                e for e in waiting if e.kind != FIRST and e.incarnation in incarnations
+            ]:
                 waiting.remove(entry)
                 self._grant(entry)
         heapq.heapify(self._waiting)
 
     def _grant(self, entry: "_Waiting") -> None:
         self._under_way += 1
-        self._to_box[entry.life] += 1
+        self._to_box[entry.incarnation] += 1
         entry.granted.set()
 
     def _withdraw(self, entry: "_Waiting") -> None:
         if entry in self._waiting:
             self._waiting.remove(entry)
             heapq.heapify(self._waiting)
-        elif entry in self._held_up.get(entry.life, ()):
-            self._held_up[entry.life].remove(entry)
+        elif entry in self._held_up.get(entry.incarnation, ()):
+            self._held_up[entry.incarnation].remove(entry)
 
-    def _waiting_for(self, life: str) -> None:
+    def _waiting_for(self, incarnation: str) -> None:
         """Let the orders to a box take part again after one there has ended."""
-        for entry in self._held_up.pop(life, ()):
+        for entry in self._held_up.pop(incarnation, ()):
             heapq.heappush(self._waiting, entry)
-        if not self._to_box[life]:
-            del self._to_box[life]
+        if not self._to_box[incarnation]:
+            del self._to_box[incarnation]
 
     def _wake(self) -> None:
         while self._waiting and self._under_way < self.size:
             entry = heapq.heappop(self._waiting)
-            if self._to_box[entry.life] >= TO_ONE_BOX:
-                self._held_up.setdefault(entry.life, []).append(entry)
+            if self._to_box[entry.incarnation] >= TO_ONE_BOX:
+                self._held_up.setdefault(entry.incarnation, []).append(entry)
                 continue
             self._grant(entry)
 
--- a/src/granitetrestle/outside.py
+++ b/src/granitetrestle/outside.py
@@ -163,7 +163,7 @@
 class BoxEntry(t.NamedTuple):
     """One life of a box, as it describes itself.
 
-    :param life: its name, which differs after each restart; see :mod:`.lives`.
+    :param life: its name, which differs after each restart; see :mod:`.incarnations`.
     :param hall: its data hall.
     :param rack: empty if unknown.
     :param cpu: thousandths of a core.
@@ -172,7 +172,7 @@
     :param box_id: the id that it is reached by; a restart may keep it.
     """
 
-    life: str
+    incarnation: str
     address: str
     service: str
     hall: str
@@ -236,7 +236,7 @@
 class TaskOrder(t.NamedTuple):
     """Names one run of a task on one life of a box."""
 
-    life: str
+    incarnation: str
     address: str
     task: str
     run: int
@@ -362,9 +362,9 @@
 
     @abc.abstractmethod
     async def advise(
-        self, step: str, lives: t.Sequence[str]
+        self, step: str, incarnations: t.Sequence[str]
     ) -> Advice | AdviceUnavailable:
-        """Return which of ``lives`` may run ``step``."""
+        """Return which of ``incarnations`` may run ``step``."""
 
 
 class BoxCalls(abc.ABC):
@@ -373,7 +373,7 @@
     @abc.abstractmethod
     async def look(
         self,
-        life: str,
+        incarnation: str,
         address: str,
         token: int,
         known: int,
--- a/src/granitetrestle/ownership.py
+++ b/src/granitetrestle/ownership.py
@@ -138,8 +138,10 @@
 
     def _hear_member(self, offset: int, beat: Beat, now: float) -> None:
         known = self._members.get(beat.node)
-        same_life = known is not None and known.beat.incarnation == beat.incarnation
-        if known is not None and same_life and known.beat.number >= beat.number:
+        same_incarnation = (
+            known is not None and known.beat.incarnation == beat.incarnation
+        )
+        if known is not None and same_incarnation and known.beat.number >= beat.number:
             return
         self._members[beat.node] = Member(beat, offset, now)
         if beat.incarnation == self._incarnation and beat.number in self._sent:
--- a/src/granitetrestle/packing.py
+++ b/src/granitetrestle/packing.py
@@ -71,7 +71,7 @@
     task: Task, boxes: t.Iterable[BoxView], interference: Interference, now: float
 ) -> BoxView | None:
     """Return a box where a slowed task that fills would disturb nobody."""
-    others = (box for box in boxes if box.life != task.box)
+    others = (box for box in boxes if box.incarnation != task.box)
     return best_box(others, _Filling(task.spec, interference, now, MOVE_PACE))
 
 
@@ -79,7 +79,9 @@
     """Return the box with fewest tasks that fill, for one that has waited too long: it
     is slowed there as much as the serving tasks need."""
     return min(
-        boxes, key=lambda box: (len(box.fillers), -box.cpu_free, box.life), default=None
+        boxes,
+        key=lambda box: (len(box.fillers), -box.cpu_free, box.incarnation),
+        default=None,
     )
 
 
@@ -93,7 +95,7 @@
 
 class _ByName(Ranking):
     def of(self, box: BoxView) -> Rank:
-        return (box.life,)
+        return (box.incarnation,)
 
 
 class KeepApart(Packer):
@@ -166,7 +168,7 @@
     """Tasks of one step share their load, so they are quiet at the same time; else
     the smallest gap is filled first."""
     strange = not any(_same_step(task, other) for other in box.serving.values())
-    return (strange, box.cpu_free, box.fill_cpu, box.life)
+    return (strange, box.cpu_free, box.fill_cpu, box.incarnation)
 
 
 def _same_step(task: Task, other: Task) -> bool:
@@ -179,7 +181,7 @@
     """Leave boxes that are being filled alone, and fill gaps first."""
 
     def of(self, box: BoxView) -> Rank:
-        return (box.fill_cpu > 0, box.cpu_free, box.life)
+        return (box.fill_cpu > 0, box.cpu_free, box.incarnation)
 
 
 class _Filling(Ranking):
@@ -206,4 +208,4 @@
             return None
         worth = pace + ROOM_WEIGHT * load.unused / box.entry.cpu
         worth -= OPENNESS_WEIGHT * load.openness
-        return (-worth, box.life)
+        return (-worth, box.incarnation)
--- a/src/granitetrestle/platform/advice.py
+++ b/src/granitetrestle/platform/advice.py
@@ -6,7 +6,7 @@
 
 from ..calls import Caller
 from ..calls import CallFailure
-from ..lives import box_id_of
+from ..incarnations import box_id_of
 from ..outside import Advice
 from ..outside import AdviceUnavailable
 from ..outside import Advisor
@@ -36,10 +36,10 @@
         self._caller = caller
 
     async def advise(
-        self, step: str, lives: t.Sequence[str]
+        self, step: str, incarnations: t.Sequence[str]
     ) -> Advice | AdviceUnavailable:
         """See :meth:`.outside.Advisor.advise`."""
-        by_id = {box_id_of(life): life for life in lives}
+        by_id = {box_id_of(incarnation): incarnation for incarnation in incarnations}
         body = msgspec.json.encode({"step": step, "workers": list(by_id)})
         headers = ((b"content-type", b"application/json"),)
         reply = await self._caller.call(
--- a/src/granitetrestle/platform/boxes.py
+++ b/src/granitetrestle/platform/boxes.py
@@ -11,9 +11,9 @@
 from ..calls import Request
 from ..calls import is_address
 from ..errors import MalformedEntry
-from ..lives import box_id_of
-from ..lives import is_same_life
-from ..lives import life_name
+from ..incarnations import box_id_of
+from ..incarnations import incarnation_name
+from ..incarnations import is_same_incarnation
 from ..outside import BoxCalls
 from ..outside import BoxEntry
 from ..outside import BoxNoAnswer
@@ -116,7 +116,7 @@
         raise MalformedEntry(record.key, f"no address: {raw.address!r}")
     leaving = raw.remaining_ms
     return BoxEntry(
-        life=life_name(record.key, raw.born),
+        incarnation=incarnation_name(record.key, raw.born),
         address=raw.address,
         service=raw.service,
         hall=raw.zone,
@@ -133,25 +133,25 @@
     )
 
 
-class _Life(Party):
+class _Incarnation(Party):
     """One life of a box, as a caller of an epoch is to reach it. Ids don't tell lives apart,
     so a call is made over a connection to a box that has told when it was born."""
 
-    def __init__(self, life: str, token: int) -> None:
-        self._life = life
+    def __init__(self, incarnation: str, token: int) -> None:
+        self._incarnation = incarnation
         self._token = token
 
     @property
     def name(self) -> str:
         """See :attr:`.Party.name`."""
-        return self._life
+        return self._incarnation
 
     @property
     def headers(self) -> tuple[tuple[bytes, bytes], ...]:
         """The headers of a call to it."""
         return (
             (b"content-type", b"application/json"),
-            (ID_HEADER, box_id_of(self._life).encode()),
+            (ID_HEADER, box_id_of(self._incarnation).encode()),
         )
 
     def question(self) -> Request:
@@ -167,10 +167,10 @@
             born = _births.decode(reply.body).born
         except (msgspec.DecodeError, UnicodeDecodeError):
             return None
-        box_id = box_id_of(self._life)
-        if born is None and self._life != life_name(box_id, None):
+        box_id = box_id_of(self._incarnation)
+        if born is None and self._incarnation != incarnation_name(box_id, None):
             return None
-        return is_same_life(self._life, box_id, born)
+        return is_same_incarnation(self._incarnation, box_id, born)
 
 
 class PlatformBoxes(BoxCalls):
@@ -181,7 +181,7 @@
 
     async def look(
         self,
-        life: str,
+        incarnation: str,
         address: str,
         token: int,
         known: int,
@@ -195,7 +195,7 @@
         if wait_ms:
             body["wait_ms"] = wait_ms
         timeout_s = LOOK_TIMEOUT_S + wait_ms / 1000.0
-        party = _Life(life, token)
+        party = _Incarnation(incarnation, token)
         request = Request(LOOK_PATH, party.headers, _encode(body))
         reply = await self._caller.call_party(
             party,
@@ -247,7 +247,7 @@
     async def _order(
         self, path: str, order: TaskOrder, token: int, body: dict[str, t.Any]
     ) -> OrderOutcome:
-        party = _Life(order.life, token)
+        party = _Incarnation(order.incarnation, token)
         request = Request(path, party.headers, _encode(body))
         reply = await self._caller.call_party(
             party, order.address, request, ORDER_TIMEOUT_S, limit=ANSWER_BYTES
--- a/src/granitetrestle/progress.py
+++ b/src/granitetrestle/progress.py
@@ -29,13 +29,13 @@
     def __init__(self, state: ShardState) -> None:
         self._state = state
 
-    def run_ended(self, life: str, row: EndedRun, now: float) -> list[Decision]:
+    def run_ended(self, incarnation: str, row: EndedRun, now: float) -> list[Decision]:
         """Apply one end that a box lists."""
         task = self._state.find_task(row.task)
         if task is None or task.state == DONE:
             return []
         workflow = task.workflow
-        box = self._state.boxes.get(life)
+        box = self._state.boxes.get(incarnation)
         effects: list[Decision] = []
         put_aside = self._state.on(Mechanism.PUT_ASIDE)
         if put_aside and box is not None and row.how in ("done", "failed"):
@@ -44,11 +44,11 @@
             in_a_row = self._state.failure_rate.in_a_row
             if box.run_ended(workflow.submission.job, failed, in_a_row, now):
                 inputs = {"closed_s": round(box.closed_until - now, 1)}
-                effects.append(Noted("box_put_aside", life, inputs))
+                effects.append(Noted("box_put_aside", incarnation, inputs))
         self._state.changed(task)
         if row.how == "done":
             return effects + self._done(task, row, now)
-        current = row.run == task.run and task.placed and task.box == life
+        current = row.run == task.run and task.placed and task.box == incarnation
         if row.how == "failed" and not task.spec.lasting:
             # A successor is told again of ends that its predecessor wrote down, but
             # had not confirmed to the box yet.
@@ -60,7 +60,7 @@
         if current:
             self.requeue(task, now)
         if task.failures >= self._attempts(workflow) and not workflow.terminal:
-            why = {"task": task.name, "failures": task.failures, "box": life}
+            why = {"task": task.name, "failures": task.failures, "box": incarnation}
             effects += self.end(workflow, "failed", now, why)
         return effects
 
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -325,11 +325,11 @@
             elif isinstance(decision, WatchBox):
                 self._watch(decision)
             elif isinstance(decision, LeaveBox):
-                keeper = self._keepers.pop(decision.life, None)
+                keeper = self._keepers.pop(decision.incarnation, None)
                 if keeper is not None:
                     keeper.leave()
             elif isinstance(decision, WithdrawStarts):
-                self._window.release(decision.lives)
+                self._window.release(decision.incarnations)
             elif isinstance(decision, PaceTask):
                 self._order(decision)
             elif isinstance(decision, AskAdvice):
@@ -341,7 +341,7 @@
 
     def _watch(self, decision: WatchBox) -> None:
         keeper = BoxKeeper(
-            decision.life,
+            decision.incarnation,
             decision.address,
             self._epoch,
             self._sources.boxes,
@@ -353,7 +353,7 @@
             self._lag,
             self._budget,
         )
-        self._keepers[decision.life] = keeper
+        self._keepers[decision.incarnation] = keeper
         self._start(keeper.run)
 
     def _start(
@@ -366,7 +366,7 @@
         advice: Advice | AdviceUnavailable = AdviceUnavailable("no service is known")
         if self._sources.advisor is not None:
             step = f"{asked.job}.{asked.occurrence}.{asked.step}"
-            advice = await self._sources.advisor.advise(step, asked.lives)
+            advice = await self._sources.advisor.advise(step, asked.incarnations)
         self._apply(self._decider.advised(asked, advice, time.monotonic()))
 
     def _release(self, held: list[t.Any]) -> None:
@@ -379,12 +379,12 @@
             elif isinstance(decision, LeasesAgain):
                 self._decider.fleet.leases_again(decision)
             elif isinstance(decision, EndsKnown):
-                keeper = self._keepers.get(decision.life)
+                keeper = self._keepers.get(decision.incarnation)
                 if keeper is not None:
                     keeper.ends_durable(decision.number)
 
     def _order(self, decision: StartTask | StopTask | PaceTask) -> None:
-        keeper = self._keepers.get(decision.life)
+        keeper = self._keepers.get(decision.incarnation)
         if keeper is None or self._tasks is None:
             return
         self._tasks.start_soon(keeper.carry_out, decision)
--- a/src/granitetrestle/shardstate.py
+++ b/src/granitetrestle/shardstate.py
@@ -10,13 +10,13 @@
 from .boxindex import BoxIndex
 from .errors import UnreadableRecord
 from .failurerate import FailureRate
+from .incarnations import box_id_of
 from .interference import Interference
 from .jobrecords import INTERFERENCE_KEY
 from .jobrecords import JobRecords
 from .jobrecords import Restored
 from .jobrecords import restore_jobs
 from .leaserights import WithdrawnLeases
-from .lives import box_id_of
 from .mechanisms import Mechanism
 from .outside import Config
 from .outside import Queue
@@ -144,7 +144,7 @@
         # Placed tasks that a predecessor wrote down, by boxes that are not known yet.
         self.inherited: dict[str, list[Task]] = {}
         # Id of a box -> those lives of it.
-        self.inherited_lives: dict[str, list[str]] = {}
+        self.inherited_incarnations: dict[str, list[str]] = {}
         self.withdrawn_leases = WithdrawnLeases()
         self.config: Config | None = None
         # Data halls whose boxes get nothing new; see :mod:`.evacuation`.
@@ -237,8 +237,10 @@
                 if task.placed:
                     self.inherited.setdefault(task.box, []).append(task)
             yield
-        for life in self.inherited:
-            self.inherited_lives.setdefault(box_id_of(life), []).append(life)
+        for incarnation in self.inherited:
+            self.inherited_incarnations.setdefault(box_id_of(incarnation), []).append(
+                incarnation
+            )
 
     def find_task(self, name: str) -> Task | None:
         """Return a task by its name."""
--- a/src/granitetrestle_bench/deciding.py
+++ b/src/granitetrestle_bench/deciding.py
@@ -111,11 +111,15 @@
         self.cost = dict.fromkeys(("decide", "looks", "write"), 0.0)
         self.written = self.starts = 0
         self.decider.configured(Config(1, QUEUES, {"pool": True}, 262144))
-        entries = {entry.life: entry for entry in map(self._entry, range(boxes))}
+        entries = {entry.incarnation: entry for entry in map(self._entry, range(boxes))}
         self.decider.fleet.listed(entries, self.now)
-        for life in entries:
-            self.running[life], self.ended[life], self.count[life] = {}, [], 0
-            self._look(life)
+        for incarnation in entries:
+            (
+                self.running[incarnation],
+                self.ended[incarnation],
+                self.count[incarnation],
+            ) = {}, [], 0
+            self._look(incarnation)
         for kind in KINDS:
             for _ in range(round(kind.first * self.share)):
                 self._submit(kind)
@@ -123,7 +127,7 @@
     def _entry(self, number: int) -> BoxEntry:
         size = 1.5 if number % 3 == 2 else 1.0
         return BoxEntry(
-            life=f"{number:016x}",
+            incarnation=f"{number:016x}",
             address=f"b{number}:1",
             service="pool",
             hall=f"h{number % 5}",
@@ -166,12 +170,14 @@
             if isinstance(decision, StartTask):
                 self._start(decision)
             elif isinstance(decision, StopTask):
-                self._end(decision.life, decision.task, decision.run, "stopped")
+                self._end(decision.incarnation, decision.task, decision.run, "stopped")
             elif isinstance(decision, EndsKnown):
-                box = self.decider.state.boxes[decision.life]
+                box = self.decider.state.boxes[decision.incarnation]
                 box.durable_known = decision.number
-                kept = [e for e in self.ended[decision.life] if e.number > box.known]
-                self.ended[decision.life] = kept
+                kept = [
+                    e for e in self.ended[decision.incarnation] if e.number > box.known
+                ]
+                self.ended[decision.incarnation] = kept
             elif isinstance(decision, PaceTask):
                 pass
 
@@ -179,35 +185,37 @@
         self.starts += 1
         task = self.decider.state.find_task(order.task)
         assert task is not None
-        self.running[order.life][order.task] = (order.run, task.spec)
+        self.running[order.incarnation][order.task] = (order.run, task.spec)
         if not task.spec.lasting:
             takes = task.spec.estimate_ms / 1000.0 * self.random.uniform(0.5, 1.5)
-            end = (self.now + takes, order.life, order.task, order.run)
+            end = (self.now + takes, order.incarnation, order.task, order.run)
             heapq.heappush(self.ends, end)
         answer = OrderAccepted(int(self.now * 1000))
         self._apply(
             self.decider.start_answered(
-                order.life, order.task, order.run, answer, self.now
+                order.incarnation, order.task, order.run, answer, self.now
             )
         )
 
-    def _end(self, life: str, task: str, run: int, how: str) -> None:
-        if self.running[life].get(task, (0, None))[0] != run:
+    def _end(self, incarnation: str, task: str, run: int, how: str) -> None:
+        if self.running[incarnation].get(task, (0, None))[0] != run:
             return
-        del self.running[life][task]
-        self.count[life] += 1
-        self.ended[life].append(EndedRun(self.count[life], task, run, how, ""))
+        del self.running[incarnation][task]
+        self.count[incarnation] += 1
+        self.ended[incarnation].append(
+            EndedRun(self.count[incarnation], task, run, how, "")
+        )
 
-    def _look(self, life: str) -> None:
-        plan = self.decider.fleet.plan_look(life, self.now, True)
+    def _look(self, incarnation: str) -> None:
+        plan = self.decider.fleet.plan_look(incarnation, self.now, True)
         assert plan is not None
         rows = tuple(
             RunningTask(name, run, "", 50, self._figure(step))
-            for name, (run, step) in self.running[life].items()
+            for name, (run, step) in self.running[incarnation].items()
         )
-        look = Look(int(self.now * 1000), rows, tuple(self.ended[life]))
+        look = Look(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
         began = time.process_time()
-        decisions = self.decider.fleet.looked(life, self.now, self.now, look)
+        decisions = self.decider.fleet.looked(incarnation, self.now, self.now, look)
         self.cost["looks"] += time.process_time() - began
         self._apply(decisions)
 
@@ -217,8 +225,8 @@
 
     def run(self, seconds: float) -> None:
         """Go on for ``seconds`` of virtual time."""
-        lives = list(self.running)
-        each = max(1, round(len(lives) * DECIDE_EVERY_S / LOOK_EVERY_S))
+        incarnations = list(self.running)
+        each = max(1, round(len(incarnations) * DECIDE_EVERY_S / LOOK_EVERY_S))
         turn = 0
         for _ in range(int(seconds / DECIDE_EVERY_S)):
             self.now += DECIDE_EVERY_S
@@ -232,7 +240,7 @@
             while self.ends and self.ends[0][0] <= self.now:
                 self._end(*heapq.heappop(self.ends)[1:], "done")
             for _ in range(each):
-                self._look(lives[turn % len(lives)])
+                self._look(incarnations[turn % len(incarnations)])
                 turn += 1
             self._decide()
 
--- a/src/granitetrestle_bench/takeover.py
+++ b/src/granitetrestle_bench/takeover.py
@@ -135,7 +135,7 @@
                     continue
                 task.run = 1
                 task.state = DONE if task.step < at else RUNNING
-                task.box = self._life(self._random.randrange(self.boxes))
+                task.box = self._incarnation(self._random.randrange(self.boxes))
                 task.checkpoint = CHECKPOINT if task.spec.checkpointing else ""
                 self._records.task_changed(task)
                 tasks -= task.step == at
@@ -162,7 +162,7 @@
             fills=kind.queue == "fill",
         )
 
-    def _life(self, number: int) -> str:
+    def _incarnation(self, number: int) -> str:
         return f"{number:016x}"
 
     def _box(self, number: int) -> Record:
@@ -174,7 +174,7 @@
             "capacity": {"cpu": 48000, "mem_mb": 192000, "gpu": 0},
             "labels": ["a", f"r{number // 8}"],
         }
-        return Record(self._life(number), json.dumps(entry).encode())
+        return Record(self._incarnation(number), json.dumps(entry).encode())
 
 
 def ended_jobs(share: float) -> int:
--- a/src/granitetrestle_standins/boxcrashes.py
+++ b/src/granitetrestle_standins/boxcrashes.py
@@ -41,8 +41,8 @@
     def crash_for_now(self, box: BoxModel, now: float) -> None:
         """Crash a box that comes back."""
         self.crash(box, now)
-        self._back_at[box.life] = now + BACK_AFTER_S
-        self._unlisted_at[box.life] = now + STAYS_LISTED_S
+        self._back_at[box.incarnation] = now + BACK_AFTER_S
+        self._unlisted_at[box.incarnation] = now + STAYS_LISTED_S
 
     def due(self, box: BoxModel, now: float) -> bool:
         """Say whether what runs on a box crashes it now."""
@@ -55,9 +55,9 @@
         """Say whether a box crashes before it answers the start of a task."""
         return self.unanswered and bool(self.crashing.intersection(box.running))
 
-    def is_down(self, life: str, now: float) -> bool:
+    def is_down(self, incarnation: str, now: float) -> bool:
         """Say whether nobody answers yet in the place of a life that has crashed."""
-        return self._back_at.get(life, 0.0) > now
+        return self._back_at.get(incarnation, 0.0) > now
 
     def take_back(self, now: float) -> list[str]:
         """Return the lives in whose place another one answers from now on."""
@@ -83,7 +83,7 @@
 
 
 def _take_due(times: dict[str, float], now: float) -> list[str]:
-    due = [life for life, at in times.items() if at <= now]
-    for life in due:
-        del times[life]
+    due = [incarnation for incarnation, at in times.items() if at <= now]
+    for incarnation in due:
+        del times[incarnation]
     return due
--- a/src/granitetrestle_standins/boxserver.py
+++ b/src/granitetrestle_standins/boxserver.py
@@ -70,7 +70,7 @@
         self._profile = profile
         self._draw = draw
         self._listed = listed
-        self._lives: list[BoxModel] = []
+        self._incarnations: list[BoxModel] = []
         self._begin()
         self._silent_until = 0.0
         self._late_until = 0.0
@@ -85,20 +85,20 @@
     @property
     def model(self) -> BoxModel:
         """The life that answers now."""
-        return self._lives[-1]
+        return self._incarnations[-1]
 
     def _begin(self) -> None:
         born_ms = time.time_ns() // 1_000_000
-        life = f"{self.box_id}@{born_ms}"
+        incarnation = f"{self.box_id}@{born_ms}"
         parts = (None, self._profile, self._draw, self._born(), born_ms)
-        self._lives.append(BoxModel(life, *parts))
+        self._incarnations.append(BoxModel(incarnation, *parts))
 
     def _begin_again(self, now: float) -> None:
         self._down_until = None
         self._id_before = ""
         if not self._keeps_id:
             self._id_before = self.box_id
-            self.box_id = f"{self._name}-{len(self._lives)}"
+            self.box_id = f"{self._name}-{len(self._incarnations)}"
         self._begin()
         self.gate.open()
         self._list_at = now + self._list_after_s
@@ -140,13 +140,15 @@
             self._keeps_id = query.get("keep") == "1"
             self._list_after_s = float(query.get("list", "0"))
         elif path == "/test/facts":
-            facts = [model.facts(self._hall)._asdict() for model in self._lives]
+            facts = [model.facts(self._hall)._asdict() for model in self._incarnations]
             return json_reply(200, facts)
         else:
             if path == "/test/runs":
-                rows = [_run_row(m, run) for m in self._lives for run in m.history]
+                rows = [
+                    _run_row(m, run) for m in self._incarnations for run in m.history
+                ]
                 return json_reply(200, rows)
-            history = [run for model in self._lives for run in model.history]
+            history = [run for model in self._incarnations for run in model.history]
             return json_reply(200, [[r.task, r.run, r.how] for r in history])
         return json_reply(200, {})
 
--- a/src/granitetrestle_standins/fakes.py
+++ b/src/granitetrestle_standins/fakes.py
@@ -40,7 +40,7 @@
         super().__init__(seed)
         self.retired: list[FakeNode] = []
         self.called: dict[str, FakeNode] = {}
-        self._lives: collections.Counter[str] = collections.Counter()
+        self._incarnations: collections.Counter[str] = collections.Counter()
         self._halls = {
             hall: tuple(f"{hall}-{i}" for i in range(1, count + 1))
             for hall, count in halls.items()
@@ -65,10 +65,10 @@
 
     def start_node(self, hall: str, node: str) -> FakeNode:
         """Start a process, also in place of one that ended."""
-        self._lives[node] += 1
+        self._incarnations[node] += 1
         setup = Setup(
             node=node,
-            incarnation=f"{node}~{self._lives[node]}",
+            incarnation=f"{node}~{self._incarnations[node]}",
             hall=hall,
             halls=self._halls,
             shards=self._shards,
--- a/src/granitetrestle_standins/modellives.py
+++ b/src/granitetrestle_standins/modellives.py
@@ -3,7 +3,7 @@
 import random
 import typing as t
 
-from granitetrestle.lives import life_name
+from granitetrestle.incarnations import incarnation_name
 from granitetrestle.outside import BoxEntry
 
 __all__ = ["ModelLives"]
@@ -55,8 +55,8 @@
             box_id = before.box_id
             if self._draw.random() < MOVES:
                 address = f"a{self.count}"
-        life = self._name(box_id)
-        return before._replace(life=life, box_id=box_id, address=address)
+        incarnation = self._name(box_id)
+        return before._replace(incarnation=incarnation, box_id=box_id, address=address)
 
     def _name(self, box_id: str) -> str:
-        return life_name(box_id, self.count if self._keep_ids else None)
+        return incarnation_name(box_id, self.count if self._keep_ids else None)
--- a/src/granitetrestle_standins/nativebox.py
+++ b/src/granitetrestle_standins/nativebox.py
@@ -76,14 +76,14 @@
 
     def __init__(
         self,
-        life: str,
+        incarnation: str,
         hold_max_s: float | None = None,
         profile: BoxProfile = PLAIN_BOX,
         draw: random.Random | None = None,
         born: float = 0.0,
         born_ms: int | None = None,
     ) -> None:
-        self.life = life
+        self.incarnation = incarnation
         self.born_ms = born_ms
         self.alive = True
         self.running: dict[str, BoxRun] = {}
@@ -118,7 +118,7 @@
             return True
         self._token = token
         if not self._epochs or self._epochs[-1].epoch != token:
-            self._epochs.append(EpochChange(self.life, now, token))
+            self._epochs.append(EpochChange(self.incarnation, now, token))
         return False
 
     def _renew(self, lease_ends_ms: int | None, now: float) -> None:
@@ -161,7 +161,13 @@
             refused = self._refusal(task, run, spec, lease_ends_ms, now)
             self._refused.append(
                 RefusedStart(
-                    self.life, now, task, run, token, self._token, refused is None
+                    self.incarnation,
+                    now,
+                    task,
+                    run,
+                    token,
+                    self._token,
+                    refused is None,
                 )
             )
             return OrderRejected("fence", clock)
@@ -295,7 +301,7 @@
         """Return all that this life saw."""
         runs = [
             RunFact(
-                box=self.life,
+                box=self.incarnation,
                 hall=hall,
                 task=run.task,
                 run=run.run,
@@ -309,5 +315,5 @@
             )
             for run in self.history
         ]
-        lapses = [Lapse(self.life, at) for at in self.lapses]
+        lapses = [Lapse(self.incarnation, at) for at in self.lapses]
         return BoxFacts(runs, lapses, list(self._refused), list(self._epochs))
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -57,7 +57,7 @@
     def look(
         self,
         sender: "DeciderProcess",
-        life: str,
+        incarnation: str,
         known: int,
         lease_ends_ms: int | None,
     ) -> LookOutcome:
@@ -154,9 +154,9 @@
         self.read_orders()
         self.apply(self.decider.decide(self.now, int(self.now * 1000)))
         self._write()
-        for life in list(self.decider.state.boxes):
+        for incarnation in list(self.decider.state.boxes):
             if not self.over:
-                self._look(life)
+                self._look(incarnation)
 
     def _write(self) -> None:
         if self.world.store_down or self.without_store:
@@ -181,18 +181,18 @@
         elif isinstance(decision, LeasesAgain):
             self.decider.fleet.leases_again(decision)
         elif isinstance(decision, EndsKnown):
-            box = self.decider.state.boxes.get(decision.life)
+            box = self.decider.state.boxes.get(decision.incarnation)
             if box is not None:
                 box.durable_known = max(box.durable_known, decision.number)
 
-    def _look(self, life: str) -> None:
+    def _look(self, incarnation: str) -> None:
         now = self.now
-        if now - self.looked_at.get(life, -1.0) < 2 * STEP_S:
+        if now - self.looked_at.get(incarnation, -1.0) < 2 * STEP_S:
             return
-        self.looked_at[life] = now
+        self.looked_at[incarnation] = now
         renew = now - self.confirmed_at < self.world.terms.orphan_s
-        plan = self.decider.fleet.plan_look(life, now, renew)
+        plan = self.decider.fleet.plan_look(incarnation, now, renew)
         if plan is None:
             return
-        outcome = self.world.look(self, life, plan.known, plan.lease_ends_ms)
-        self.apply(self.decider.fleet.looked(life, now, now, outcome))
+        outcome = self.world.look(self, incarnation, plan.known, plan.lease_ends_ms)
+        self.apply(self.decider.fleet.looked(incarnation, now, now, outcome))
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -82,7 +82,7 @@
         keep_ids: bool = False,
     ) -> None:
         self.random = random.Random(seed)
-        self._lives = ModelLives(seed, keep_ids)
+        self._incarnations = ModelLives(seed, keep_ids)
         self.now = 100.0
         self.terms = DeciderTerms(lease_s=3.0, orphan_s=2.0, keep_s=600.0)
         self.store = StoreModel(reading)
@@ -135,14 +135,14 @@
 
     def add_box(self, hall: str = "") -> str:
         """Add an empty box; without a hall, the halls take turns."""
-        hall = hall or self.halls[(self._lives.count + 1) % len(self.halls)]
-        return self._enter(self._lives.first(hall))
+        hall = hall or self.halls[(self._incarnations.count + 1) % len(self.halls)]
+        return self._enter(self._incarnations.first(hall))
 
     def _enter(self, entry: BoxEntry) -> str:
         """Let a life begin that is listed."""
-        self.boxes[entry.life] = BoxModel(entry.life, self.terms.lease_s)
-        self.entries[entry.life] = entry
-        return entry.life
+        self.boxes[entry.incarnation] = BoxModel(entry.incarnation, self.terms.lease_s)
+        self.entries[entry.incarnation] = entry
+        return entry.incarnation
 
     @property
     def leader(self) -> DeciderProcess:
@@ -167,17 +167,17 @@
 
     def crash_box(self, choice: int) -> None:
         """End a box's life; another one begins at its address a little later."""
-        life = self._pick(choice)
-        if life is not None:
-            self.box_crashes.crash(self.boxes[life], self.now)
-            self._begin_again(self.entries.pop(life))
+        incarnation = self._pick(choice)
+        if incarnation is not None:
+            self.box_crashes.crash(self.boxes[incarnation], self.now)
+            self._begin_again(self.entries.pop(incarnation))
 
     def _begin_again(self, before: BoxEntry) -> None:
         """Let another life begin where one has ended."""
-        entry = self._lives.again(before)
+        entry = self._incarnations.again(before)
         if entry.box_id == before.box_id:
             # The list has one entry for an id.
-            self.entries.pop(before.life, None)
+            self.entries.pop(before.incarnation, None)
         self._enter(entry)
 
     def _crash_boxes(self) -> None:
@@ -186,29 +186,33 @@
         for box in list(self.boxes.values()):
             if crashes.due(box, self.now):
                 crashes.crash_for_now(box, self.now)
-        for life in crashes.take_back(self.now):
-            self._begin_again(self.entries[life])
-        for life in crashes.take_unlisted(self.now):
-            self.entries.pop(life, None)
+        for incarnation in crashes.take_back(self.now):
+            self._begin_again(self.entries[incarnation])
+        for incarnation in crashes.take_unlisted(self.now):
+            self.entries.pop(incarnation, None)
 
     def resize_box(self, choice: int, cpu: int) -> None:
         """Let the room of a box shrink or grow, as it says of itself; it refuses nothing
         that does not fit."""
-        life = self._pick(choice)
-        if life is not None:
-            entry = self.entries[life]
-            before = max(entry.cpu, self._still_counts(life))
-            self._room_before[life] = before, self.now + ROOM_SEEN_S
-            self.entries[life] = entry._replace(cpu=cpu)
+        incarnation = self._pick(choice)
+        if incarnation is not None:
+            entry = self.entries[incarnation]
+            before = max(entry.cpu, self._still_counts(incarnation))
+            self._room_before[incarnation] = before, self.now + ROOM_SEEN_S
+            self.entries[incarnation] = entry._replace(cpu=cpu)
 
     def cut_box(self, choice: int, seconds: float) -> None:
         """Cut a box off from every decider; it runs on."""
-        life = self._pick(choice)
-        if life is not None:
-            self.cut[life] = self.now + seconds
+        incarnation = self._pick(choice)
+        if incarnation is not None:
+            self.cut[incarnation] = self.now + seconds
 
     def _pick(self, choice: int) -> str | None:
-        alive = [life for life in sorted(self.entries) if self.boxes[life].alive]
+        alive = [
+            incarnation
+            for incarnation in sorted(self.entries)
+            if self.boxes[incarnation].alive
+        ]
         return alive[choice % len(alive)] if alive else None
 
     def submit(self, steps: tuple[Step, ...]) -> str:
@@ -240,7 +244,7 @@
     def send(self, sender: DeciderProcess, order: Order) -> None:
         """Carry an order to its box, or lose it, or let it come late."""
         draw = self.random.random()
-        box = sender.decider.state.boxes.get(order.life)
+        box = sender.decider.state.boxes.get(order.incarnation)
         until = 0
         if isinstance(order, StartTask) and box is not None:
             if not sender.decider.start_wanted(order, sender.now):
@@ -252,7 +256,7 @@
             at = self.now + self.random.uniform(0.2, 6.0)
             self._late.append(_Late(at, sender.epoch, until, order))
             outcome: OrderOutcome = BoxNoAnswer("late")
-        elif self._unreachable(sender, order.life):
+        elif self._unreachable(sender, order.incarnation):
             outcome = BoxNoAnswer("cut")
         else:
             outcome = self._carry_out(order, until, sender.epoch)
@@ -262,13 +266,13 @@
         if isinstance(order, StartTask):
             sender.apply(
                 decider.start_answered(
-                    order.life, order.task, order.run, outcome, sender.now
+                    order.incarnation, order.task, order.run, outcome, sender.now
                 )
             )
         elif isinstance(order, StopTask):
             sender.apply(
                 decider.stop_answered(
-                    order.life, order.task, order.run, outcome, sender.now
+                    order.incarnation, order.task, order.run, outcome, sender.now
                 )
             )
 
@@ -276,12 +280,12 @@
         outcome = OrderNotSent("withdrawn")
         sender.apply(
             sender.decider.start_answered(
-                order.life, order.task, order.run, outcome, sender.now
+                order.incarnation, order.task, order.run, outcome, sender.now
             )
         )
 
     def _judge_hall(self, order: StartTask) -> None:
-        entry = self.entries.get(order.life)
+        entry = self.entries.get(order.incarnation)
         since = self.evacuated.get(entry.hall) if entry is not None else None
         if since is None:
             return
@@ -289,9 +293,9 @@
             raise PromiseBroken(f"{order.task} was sent to an evacuated hall")
 
     def _carry_out(self, order: Order, until: int, token: int) -> OrderOutcome:
-        box = self.boxes[order.life]
+        box = self.boxes[order.incarnation]
         if not box.alive:
-            return self._dead(order.life)
+            return self._dead(order.incarnation)
         if isinstance(order, StartTask):
             outcome = box.start(
                 order.task, order.run, order.spec, until, token, self.now
@@ -307,14 +311,18 @@
         return outcome
 
     def look(
-        self, sender: DeciderProcess, life: str, known: int, lease_ends_ms: int | None
+        self,
+        sender: DeciderProcess,
+        incarnation: str,
+        known: int,
+        lease_ends_ms: int | None,
     ) -> LookOutcome:
         """Look at a box."""
-        if self._unreachable(sender, life):
+        if self._unreachable(sender, incarnation):
             return BoxNoAnswer("cut")
-        box = self.boxes[life]
+        box = self.boxes[incarnation]
         if not box.alive:
-            return self._dead(life)
+            return self._dead(incarnation)
         for row in box.unconfirmed():
             if row.number <= known:
                 self._confirmed(box, row)
@@ -334,14 +342,16 @@
                 if run.task == row.task and run.began > ended and not lapsed:
                     raise PromiseBroken(f"{run.task} began after an end that counts")
 
-    def _dead(self, life: str) -> BoxReplaced | BoxNoAnswer:
+    def _dead(self, incarnation: str) -> BoxReplaced | BoxNoAnswer:
         """Return what a call gets at the address of a life that has ended."""
-        if self.box_crashes.is_down(life, self.now):
+        if self.box_crashes.is_down(incarnation, self.now):
             return BoxNoAnswer("connection refused", sent=False)
         return BoxReplaced()
 
-    def _unreachable(self, sender: DeciderProcess, life: str) -> bool:
-        return life in sender.cut_from or self.now < self.cut.get(life, 0.0)
+    def _unreachable(self, sender: DeciderProcess, incarnation: str) -> bool:
+        return incarnation in sender.cut_from or self.now < self.cut.get(
+            incarnation, 0.0
+        )
 
     def advance(self, seconds: float) -> None:
         """Let time pass."""
@@ -360,7 +370,7 @@
         due = [late for late in self._late if late.at <= self.now]
         self._late = [late for late in self._late if late.at > self.now]
         for late in due:
-            if self.boxes[late.order.life].alive:
+            if self.boxes[late.order.incarnation].alive:
                 self._carry_out(late.order, late.lease_ends_ms, late.token)
         self._crash_boxes()
         for box in self.boxes.values():
@@ -386,27 +396,29 @@
             for run in box.running.values():
                 if run.task in where:
                     raise PromiseBroken(f"{run.task} runs on two boxes")
-                where[run.task] = box.life
+                where[run.task] = box.incarnation
             for run in box.history:
                 if id(run) not in self._judged:
                     self._judged.add(id(run))
                     self._judge(run)
                     self._judge_room(box)
 
-    def _still_counts(self, life: str) -> int:
+    def _still_counts(self, incarnation: str) -> int:
         """Return the room that a box had until a moment ago, if it shrank."""
-        before, until = self._room_before.get(life, (0, 0.0))
+        before, until = self._room_before.get(incarnation, (0, 0.0))
         return before if self.now <= until else 0
 
     def _judge_room(self, box: BoxModel) -> None:
         """Judge that a start left a box within its room; what is being stopped counts."""
-        entry = self.entries.get(box.life)
+        entry = self.entries.get(box.incarnation)
         if entry is None:
             return
-        room = max(entry.cpu, self._still_counts(box.life))
+        room = max(entry.cpu, self._still_counts(box.incarnation))
         used = sum(self._step(run.task).cpu for run in box.running.values())
         if used > room:
-            raise PromiseBroken(f"{box.life} has room for {room}, and runs {used}")
+            raise PromiseBroken(
+                f"{box.incarnation} has room for {room}, and runs {used}"
+            )
 
     def _step(self, task: str) -> Step:
         job, _, step, _ = task.split(".")
--- a/src/granitetrestle_standins/soakwitness.py
+++ b/src/granitetrestle_standins/soakwitness.py
@@ -151,11 +151,11 @@
         refused: list[RefusedStart] = []
         epochs: list[EpochChange] = []
         for box in range(self._cluster.boxes):
-            for life in self._box_facts(box):
-                runs += life.runs
-                lapses += life.lapses
-                refused += life.refused
-                epochs += life.epochs
+            for incarnation in self._box_facts(box):
+                runs += incarnation.runs
+                lapses += incarnation.lapses
+                refused += incarnation.refused
+                epochs += incarnation.epochs
         with self._lock:
             return Facts(
                 runs=runs,
@@ -168,12 +168,12 @@
             )
 
     def _box_facts(self, box: int) -> t.Iterator[BoxFacts]:
-        for life in json.loads(self._cluster.box(box, "/test/facts").content):
+        for incarnation in json.loads(self._cluster.box(box, "/test/facts").content):
             yield BoxFacts(
-                [RunFact(*row) for row in life["runs"]],
-                [Lapse(*row) for row in life["lapses"]],
-                [RefusedStart(*row) for row in life["refused"]],
-                [EpochChange(*row) for row in life["epochs"]],
+                [RunFact(*row) for row in incarnation["runs"]],
+                [Lapse(*row) for row in incarnation["lapses"]],
+                [RefusedStart(*row) for row in incarnation["refused"]],
+                [EpochChange(*row) for row in incarnation["epochs"]],
             )
 
     def verdict(self, folder: pathlib.Path) -> Verdict:
--- a/tools/life_mutants.py
+++ b/tools/life_mutants.py
@@ -14,9 +14,9 @@
         "life: whoever has the id is taken for the life",
         (
             (
-                "lives.py",
-                "return life in (life_name(box_id, born), life_name(box_id, None))",
-                "return box_id_of(life) == box_id",
+                "incarnations.py",
+                "return incarnation in (incarnation_name(box_id, born), incarnation_name(box_id, None))",
+                "return box_id_of(incarnation) == box_id",
             ),
         ),
         "restarted_box",
@@ -58,7 +58,7 @@
         "life: a name is made of the id alone",
         (
             (
-                "lives.py",
+                "incarnations.py",
                 "if born is None:",
                 "if True:",
             ),
@@ -67,7 +67,7 @@
     ),
     Mutant(
         "life: a successor keeps what stood on earlier lives of a box that answers",
-        (("fleet.py", "effects += self._lives_before(box, now)\n", ""),),
+        (("fleet.py", "effects += self._incarnations_before(box, now)\n", ""),),
         "restarted_box",
     ),
     Mutant(
@@ -75,8 +75,8 @@
         (
             (
                 "fleet.py",
-                "for name in {box.life, box.entry.box_id}:",
-                "for name in {box.life}:",
+                "for name in {box.incarnation, box.entry.box_id}:",
+                "for name in {box.incarnation}:",
             ),
         ),
         "restarted_box",
@@ -91,8 +91,8 @@
         (
             (
                 "platform/advice.py",
-                "by_id = {box_id_of(life): life for life in lives}",
-                "by_id = {life: life for life in lives}",
+                "by_id = {box_id_of(incarnation): incarnation for incarnation in incarnations}",
+                "by_id = {incarnation: incarnation for incarnation in incarnations}",
             ),
         ),
         "restarted_box",
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -11,7 +11,7 @@
             ("decider.py", "wanted = task.state == STARTING and", "wanted ="),
             (
                 "decider.py",
-                "if task is None or task.run != order.run or task.box != order.life:",
+                "if task is None or task.run != order.run or task.box != order.incarnation:",
                 "if False:",
             ),
         ),
@@ -143,7 +143,7 @@
     ),
     Mutant(
         "native: an ended life is entered again",
-        (("fleet.py", "if life not in self._ended:", "if True:"),),
+        (("fleet.py", "if incarnation not in self._ended:", "if True:"),),
         "box_crashes",
     ),
     Mutant(
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -37,7 +37,7 @@
         (
             (
                 "orderwindow.py",
-                "for entry in [e for e in waiting if e.kind != FIRST and e.life in lives]:",
+                "for entry in [e for e in waiting if e.kind != FIRST and e.incarnation in incarnations]:",
                 "for entry in list[_Waiting]():",
             ),
         ),
@@ -77,7 +77,13 @@
     ),
     Mutant(
         "native: a lease is renewed that a successor does not count on",
-        (("fleet.py", "if box.life in self._state.withdrawn_leases or ", "if "),),
+        (
+            (
+                "fleet.py",
+                "if box.incarnation in self._state.withdrawn_leases or ",
+                "if ",
+            ),
+        ),
         "native_decider",
     ),
     Mutant(
@@ -230,7 +236,7 @@
     ),
     Mutant(
         "native: limits: advice is asked about the same boxes for ever",
-        (("dispatch.py", "if box.life not in entry.unfit]", "]"),),
+        (("dispatch.py", "if box.incarnation not in entry.unfit]", "]"),),
         "own_limits",
     ),
     Mutant(
