--- a/features/session_world.py
+++ b/features/session_world.py
@@ -135,15 +135,15 @@
             for run in model.history
         ]
 
-    async def look(self, incarnation, address, token, known, lease_ends_ms, wait_ms):
+    async def poll(self, incarnation, address, token, known, lease_ends_ms, wait_ms):
         """See :class:`BoxCalls`."""
         model = self.models[incarnation]
         until = time.monotonic() + wait_ms / 1000.0
         while True:
             self.tick()
-            look = model.look(known, lease_ends_ms, token, time.monotonic())
-            if getattr(look, "ended", True) or time.monotonic() >= until:
-                return look
+            poll = model.poll(known, lease_ends_ms, token, time.monotonic())
+            if getattr(poll, "ended", True) or time.monotonic() >= until:
+                return poll
             await anyio.sleep(TICK_S)
 
     async def start(self, order, token, spec, lease_ends_ms, checkpoint, ticket):
--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -8,8 +8,8 @@
 from granitetrestle.decisions import StartTask
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import PollResult
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from session_world import CONFIG
@@ -37,7 +37,7 @@
         entries = {f"b{n}": entry(n) for n in range(boxes)}
         self.decider.fleet.listed(entries, 0.0)
         for incarnation in entries:
-            self.decider.fleet.looked(incarnation, 0.0, 0.0, Look(100, (), ()))
+            self.decider.fleet.looked(incarnation, 0.0, 0.0, PollResult(100, (), ()))
 
     def submit(self, step):
         self.jobs += 1
--- a/features/steps/box_standin_steps.py
+++ b/features/steps/box_standin_steps.py
@@ -55,8 +55,8 @@
 
 @then("a look lists the ends {first:d} to {last:d}")
 def look_lists(context, first, last, known=0):
-    look = context.box.look(known, None, EPOCH, 101.0)
-    assert [row.number for row in look.ended] == list(range(first, last + 1))
+    poll = context.box.poll(known, None, EPOCH, 101.0)
+    assert [row.number for row in poll.ended] == list(range(first, last + 1))
 
 
 @then("a look that confirms {known:d} lists the ends {first:d} to {last:d}")
@@ -110,7 +110,7 @@
 @when("at {at:g} a look renews the lease for {lease:g} s")
 def look_renews(context, at, lease):
     box = context.box
-    box.look(0, until_ms(box, at, lease), EPOCH, at)
+    box.poll(0, until_ms(box, at, lease), EPOCH, at)
 
 
 @when("at {ended:g} it ends as done, and at {noted:g} its end is noted")
@@ -121,7 +121,7 @@
     assert box.end_counts(box.history[-1])
     box.tick(noted)
     (row,) = box.lists(noted).ended
-    box.look(row.number, None, EPOCH, noted)
+    box.poll(row.number, None, EPOCH, noted)
 
 
 @then("its end counts")
@@ -155,14 +155,14 @@
 
 @then('it is still running right after, and has ended as "{how}" within {longest:g} s')
 def still_running(context, how, longest):
-    look = context.box.look(0, None, EPOCH, context.at)
-    assert [row.task for row in look.running] == [TASK]
-    assert not look.ended
+    poll = context.box.poll(0, None, EPOCH, context.at)
+    assert [row.task for row in poll.running] == [TASK]
+    assert not poll.ended
     # Beside what is being stopped there is room for seven of its kind, not for eight.
     assert takes(context.box, "1:7500:100", context.at) == "room"
-    look = context.box.look(0, None, EPOCH, context.at + longest)
-    assert not look.running
-    assert [row.how for row in look.ended] == [how]
+    poll = context.box.poll(0, None, EPOCH, context.at + longest)
+    assert not poll.running
+    assert [row.how for row in poll.ended] == [how]
     assert takes(context.box, "1:7500:100", context.at + longest) is None
 
 
@@ -352,7 +352,7 @@
 def told_beyond(context, count, known):
     for number in range(count + 1):
         if number == count:
-            context.box.look(known, None, EPOCH, 101.0)
+            context.box.poll(known, None, EPOCH, 101.0)
         until = until_ms(context.box, 101.0, 4.0)
         context.box.start(f"t.0.0.{number}", 1, SPEC, until, EPOCH, 101.0)
         context.box.end(f"t.0.0.{number}", "done", 101.0)
@@ -360,8 +360,8 @@
 
 @then("its next look lists the ends {listed}")
 def then_lists(context, listed):
-    look = context.box.look(0, None, EPOCH, 101.0)
-    numbers = [str(row.number) for row in look.ended]
+    poll = context.box.poll(0, None, EPOCH, 101.0)
+    numbers = [str(row.number) for row in poll.ended]
     assert ", ".join(numbers) == listed.replace("none", ""), numbers
 
 
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -17,17 +17,17 @@
 from granitetrestle.calls import CallFailure
 from granitetrestle.calls import Reply
 from granitetrestle.decisions import StartTask
-from granitetrestle.fleet import LookPlan
-from granitetrestle.lookbudget import LookBudget
+from granitetrestle.fleet import PollPlan
 from granitetrestle.looplag import LoopLag
 from granitetrestle.nodemetrics import NodeMetrics
 from granitetrestle.orderwindow import OpenWindow
 from granitetrestle.orderwindow import OrderWindow
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import BoxNoAnswer
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import PollResult
 from granitetrestle.peerlink import PeerLink
+from granitetrestle.pollbudget import PollBudget
 from granitetrestle_standins.nativecluster import free_port
 from rights import CONFIRMED
 
@@ -45,7 +45,7 @@
         self.looked = []
         self.waits = []
 
-    async def look(self, incarnation, address, token, known, lease_ends_ms, wait_ms):
+    async def poll(self, incarnation, address, token, known, lease_ends_ms, wait_ms):
         now = time.monotonic()
         self.looked.append((incarnation, now))
         self.waits.append(wait_ms)
@@ -60,7 +60,7 @@
             self.given_up += 1
             return BoxNoAnswer("no answer in time")
         await anyio.sleep(wait + wait_ms / 1000.0)
-        return Look(1, (), ())
+        return PollResult(1, (), ())
 
     async def start(self, *arguments):
         return OrderAccepted(1)
@@ -86,12 +86,12 @@
     def fleet(self):
         return self
 
-    def plan_look(self, incarnation, now, may_renew):
-        return LookPlan("a", 0, None, 1500)
+    def plan_poll(self, incarnation, now, may_renew):
+        return PollPlan("a", 0, None, 1500)
 
     def looked(self, incarnation, sent, now, outcome):
         box = self.boxes[incarnation]
-        if isinstance(outcome, Look):
+        if isinstance(outcome, PollResult):
             box.adopted, box.silent_since = True, None
         elif box.silent_since is None:
             box.silent_since = now
@@ -141,8 +141,8 @@
     async def script():
         async with anyio.create_task_group() as tasks:
             for incarnation in context.decider.boxes:
-                look = keeper(incarnation, context.calls, context.decider, budget)
-                tasks.start_soon(look.run)
+                poll = keeper(incarnation, context.calls, context.decider, budget)
+                tasks.start_soon(poll.run)
             await anyio.sleep(seconds)
             tasks.cancel_scope.cancel()
 
@@ -150,13 +150,13 @@
 
 
 @when("it looks at them for {seconds:d} seconds")
-def looks(context, seconds):
-    look_at_all(context, seconds, LookBudget(1000))
+def polls(context, seconds):
+    look_at_all(context, seconds, PollBudget(1000))
 
 
 @when("it looks at them for {seconds:d} seconds, all at once")
 def looks_at_once(context, seconds):
-    budget = LookBudget(1_000_000)
+    budget = PollBudget(1_000_000)
     budget._opening = OpenWindow()
     look_at_all(context, seconds, budget)
 
@@ -184,7 +184,7 @@
 
 @given("a budget of {connections:d} connections")
 def budget_of(context, connections):
-    context.budget = LookBudget(connections)
+    context.budget = PollBudget(connections)
 
 
 @when("{boxes:d} boxes are looked at, of which {busy:d} work")
@@ -221,19 +221,19 @@
 @given("a keeper of an idle box for which there is no connection to wait on")
 def idle_keeper(context):
     context.decider, context.calls = Looking(1), Boxes(0.0)
-    context.budget = LookBudget(0)
+    context.budget = PollBudget(0)
 
 
 @when("a task is started there after {seconds:g} seconds")
 def started_after(context, seconds):
     async def script():
-        look = keeper("b0", context.calls, context.decider, context.budget)
+        poll = keeper("b0", context.calls, context.decider, context.budget)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(look.run)
+            tasks.start_soon(poll.run)
             await anyio.sleep(seconds)
             context.before = len(context.calls.looked)
             context.at = time.monotonic()
-            await look.carry_out(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
+            await poll.carry_out(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
             await anyio.sleep(0.3)
             tasks.cancel_scope.cancel()
 
@@ -247,14 +247,14 @@
     box.adopted = True
 
     async def script():
-        look = keeper("b0", context.calls, context.decider, context.budget)
+        poll = keeper("b0", context.calls, context.decider, context.budget)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(look.run)
+            tasks.start_soon(poll.run)
             await anyio.sleep(span / 2)
             context.before = len(context.calls.looked)
             context.at = time.monotonic()
             box.tasks["t"] = None
-            await look.carry_out(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
+            await poll.carry_out(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
             await anyio.sleep(span * 2)
             tasks.cancel_scope.cancel()
 
--- a/features/steps/ends_steps.py
+++ b/features/steps/ends_steps.py
@@ -73,15 +73,15 @@
     rows = [[n, f"{'a' * 16}.0.0.{n}", 1, "done", ""] for n in range(1, count + 1)]
     answer = {"clock_ms": 1, "running": [], "finished": rows}
     boxes = PlatformBoxes(AnsweringBox(answer))
-    context.look = anyio.run(boxes.look, "life", "address", 1, 0, None, 0)
-    assert len(context.look.ended) == count, context.look
+    context.poll = anyio.run(boxes.poll, "life", "address", 1, 0, None, 0)
+    assert len(context.poll.ended) == count, context.poll
 
 
 @then("no further ends exist")
 def no_further(context):
-    assert not context.look.more_ends
+    assert not context.poll.more_ends
 
 
 @then("further ends may come")
 def may_come(context):
-    assert context.look.more_ends
+    assert context.poll.more_ends
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -21,8 +21,8 @@
 from granitetrestle.outside import BoxNoAnswer
 from granitetrestle.outside import Config
 from granitetrestle.outside import HallOrder
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import Record
 from granitetrestle.platform.front import decode_order
@@ -336,7 +336,9 @@
     def listed(self):
         self.decider.fleet.listed(self.entries, self.now)
         for incarnation in self.entries:
-            self.decider.fleet.looked(incarnation, self.now, self.now, Look(1, (), ()))
+            self.decider.fleet.looked(
+                incarnation, self.now, self.now, PollResult(1, (), ())
+            )
 
     def submit(self, job, step):
         call = SubmitJob(Submission(job, "q", "pool", "", (step,)))
@@ -524,8 +526,8 @@
                     context.at, task.name, decision.run, answered, sent + 0.02
                 )
         halls.now = sent + wait
-        look = Look(1, (), ())
-        context.given = decider.fleet.looked(context.at, sent, halls.now, look)
+        poll = PollResult(1, (), ())
+        context.given = decider.fleet.looked(context.at, sent, halls.now, poll)
         decider.decide(halls.now, 0)
         if task.run > 1 and context.again_at is None:
             context.again_at = halls.now
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -21,8 +21,8 @@
 from granitetrestle.feeds import BoxFeed
 from granitetrestle.feeds import Sources
 from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import Look
 from granitetrestle.outside import Newest
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import Record
 from granitetrestle.outside import Records
 from granitetrestle.platform.boxes import decode_entry
@@ -244,7 +244,7 @@
         decider.evacuation.all_ordered([], (), now)
         decider.evacuation.heard(now)
         decider.fleet.listed({"b": box}, now)
-        decider.fleet.looked("b", now, now, Look(1000, (), ()))
+        decider.fleet.looked("b", now, now, PollResult(1000, (), ()))
         decider.called("r", call, now)
         for turn in range(5):
             decider.decide(now + turn * 0.1, 1000 + turn)
--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -23,9 +23,9 @@
 from granitetrestle.outside import BoxNoAnswer
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
 from granitetrestle.outside import OrderRejected
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
 from granitetrestle.shardstate import DeciderTerms
@@ -65,7 +65,7 @@
             decider.configured(Config(1, QUEUES, {"pool": True}, 262144))
         self.list()
         for incarnation in list(self.entries):
-            self.look(incarnation)
+            self.poll(incarnation)
 
     def add_box(self, number):
         incarnation = f"{number:04}"
@@ -186,7 +186,7 @@
             return round(0.22 * spec.target_ms / max(0.1, 1.0 - busy))
         return spec.cpu
 
-    def look(self, incarnation):
+    def poll(self, incarnation):
         draw = self.random.random()
         if draw < 0.04:
             outcome = BoxNoAnswer("cut")
@@ -195,11 +195,15 @@
                 RunningTask(task, run, "", 50, self.figure(incarnation, task))
                 for task, run in self.running[incarnation].items()
             )
-            outcome = Look(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
+            outcome = PollResult(
+                int(self.now * 1000), rows, tuple(self.ended[incarnation])
+            )
         for decider in self.deciders:
-            decider.fleet.plan_look(incarnation, self.now, True)
+            decider.fleet.plan_poll(incarnation, self.now, True)
         at = self.now
-        self.both(lambda decider: decider.fleet.looked(incarnation, at, at, outcome))
+        self.both(
+            lambda decider: decider.fleet.poll_answered(incarnation, at, at, outcome)
+        )
         self.ended[incarnation].clear()
 
     def tick(self):
@@ -218,7 +222,7 @@
                     self.end(incarnation, task, run, how)
         for incarnation in list(self.entries):
             if draw.random() < 0.2:
-                self.look(incarnation)
+                self.poll(incarnation)
         if draw.random() < 0.03:
             incarnation = draw.choice(list(self.entries))
             entry = self.entries[incarnation]
@@ -296,7 +300,7 @@
         "b", "b:1", "pool", "h", "r", frozenset(), 4000, 8000, 0, False, None
     )
     decider.fleet.listed({"b": box}, 50.0)
-    decider.fleet.looked("b", 50.0, 50.0, Look(50_000, (), ()))
+    decider.fleet.poll_answered("b", 50.0, 50.0, PollResult(50_000, (), ()))
     hand_in(decider, "a", "low", Step(count=1, cpu=3500, memory_mb=1000, fills=True))
     assert starts_of(decider.decide(50.1, 50_100)) == [f"{'a' * 16}.0.0.0"]
     hand_in(decider, "b", "low", Step(count=1, cpu=3500, memory_mb=5000, fills=True))
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -153,7 +153,7 @@
         EndedRun(first + number, task.name, task.run, "failed", "")
         for number, task in enumerate(tasks)
     ]
-    desk.look(context.box.incarnation, rows)
+    desk.poll(context.box.incarnation, rows)
     assert not context.box.open_for_work(desk.now)
 
 
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -20,8 +20,8 @@
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
 from granitetrestle.shardstate import DeciderTerms
@@ -108,7 +108,7 @@
         self.most_starts = ANY_NUMBER
         self.decider.fleet.listed(entries, self.now)
         for incarnation in incarnations:
-            self.look(incarnation)
+            self.poll(incarnation)
 
     def submit(self, tasks):
         job = f"{len(self.jobs):016x}"
@@ -149,14 +149,14 @@
             elif isinstance(decision, EndsKnown):
                 self.ended[decision.incarnation].clear()
 
-    def look(self, incarnation):
+    def poll(self, incarnation):
         rows = tuple(
             RunningTask(task, run, "", 50, float(self.TASK_CPU))
             for task, run in self.running[incarnation].items()
         )
-        look = Look(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
-        self.decider.fleet.plan_look(incarnation, self.now, True)
-        self.take(self.decider.fleet.looked(incarnation, self.now, self.now, look))
+        poll = PollResult(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
+        self.decider.fleet.plan_poll(incarnation, self.now, True)
+        self.take(self.decider.fleet.looked(incarnation, self.now, self.now, poll))
 
     def tick(self, decide=True):
         self.now += 0.1
@@ -168,7 +168,7 @@
                 EndedRun(self.counts[incarnation], task, run, "done", "")
             )
         for incarnation in self.running:
-            self.look(incarnation)
+            self.poll(incarnation)
         if decide:
             self.take(self.decider.decide(self.now, 0, self.most_starts))
 
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -16,8 +16,8 @@
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import BoxReplaced
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import RunningTask
 from granitetrestle.platform.advice import PlatformAdvisor
 from granitetrestle.workflows import RUNNING
@@ -29,7 +29,7 @@
 JOB = "1".rjust(16, "0")
 TASK = f"{JOB}.0.0.0"
 STEP = Step(count=1, cpu=500, memory_mb=1, estimate_ms=200)
-NOTHING = Look(100, (), ())
+NOTHING = PollResult(100, (), ())
 
 
 def entry(incarnation):
@@ -88,7 +88,7 @@
     context.effects += decided(context.decider, now)
 
 
-RUNS_IT = Look(100, (RunningTask(TASK, 1, "", 10, 0.0),), ())
+RUNS_IT = PollResult(100, (RunningTask(TASK, 1, "", 10, 0.0),), ())
 
 
 @when("box b starts again as b@2, another decides, and b@2 answers its first look")
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -22,7 +22,7 @@
 from granitetrestle.leadership import ADDRESS_BITS
 from granitetrestle.outside import Advice
 from granitetrestle.outside import Config
-from granitetrestle.outside import Look
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import Record
 from granitetrestle.outside import StoreUnavailable
@@ -196,7 +196,7 @@
                 stop = b"/api/run-stop" in request
                 await stream.send(STOPPED if stop else head + body)
 
-    async def look():
+    async def poll():
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         async with anyio.create_task_group() as tasks:
@@ -205,16 +205,16 @@
             address = f"127.0.0.1:{port}"
             # The look goes over the connection that an order has opened.
             await boxes.stop(TaskOrder("life", address, "task", 1), 1)
-            context.look = await boxes.look("life", address, 1, 0, None, 0)
+            context.poll = await boxes.poll("life", address, 1, 0, None, 0)
             tasks.cancel_scope.cancel()
 
-    anyio.run(look)
+    anyio.run(poll)
 
 
 @then("all its tasks are seen")
 def all_seen(context):
-    assert isinstance(context.look, Look), context.look
-    assert len(context.look.running) == context.count
+    assert isinstance(context.poll, PollResult), context.poll
+    assert len(context.poll.running) == context.count
 
 
 @given("{count:d} boxes alike, of which advice names {which} as good for a step")
@@ -227,7 +227,7 @@
     decider.evacuation.heard(0.0)
     decider.fleet.listed(world.entries, 0.0)
     for incarnation in world.entries:
-        decider.fleet.looked(incarnation, 0.0, 0.1, Look(100, (), ()))
+        decider.fleet.looked(incarnation, 0.0, 0.1, PollResult(100, (), ()))
     context.good = {max(world.entries)} if which == "only the last" else set()
 
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -9,10 +9,9 @@
 
 from granitetrestle.boxlife import BoxKeeper
 from granitetrestle.decisions import StartTask
-from granitetrestle.fleet import LookPlan
+from granitetrestle.fleet import PollPlan
 from granitetrestle.jobcalls import CancelJob
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.lookbudget import LookBudget
 from granitetrestle.looplag import LoopLag
 from granitetrestle.nodemetrics import NodeMetrics
 from granitetrestle.orderwindow import OpenWindow
@@ -20,6 +19,7 @@
 from granitetrestle.outside import BoxNoAnswer
 from granitetrestle.outside import OrderAccepted
 from granitetrestle.outside import OrderNotSent
+from granitetrestle.pollbudget import PollBudget
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from granitetrestle_bench.deciding import Load
@@ -94,7 +94,7 @@
                 NodeMetrics(),
                 window,
                 LoopLag(),
-                LookBudget(3900),
+                PollBudget(3900),
             )
             for number in range(context.boxes)
         ]
@@ -264,8 +264,8 @@
 
     class fleet:
         @staticmethod
-        def plan_look(incarnation, now, may_renew):
-            return LookPlan("a", 0, None, 0)
+        def plan_poll(incarnation, now, may_renew):
+            return PollPlan("a", 0, None, 0)
 
         @staticmethod
         def looked(incarnation, sent, now, outcome):
@@ -277,10 +277,10 @@
 
 class QuickBox:
     def __init__(self):
-        self.looks = 0
+        self.polls = 0
 
-    async def look(self, *arguments):
-        self.looks += 1
+    async def poll(self, *arguments):
+        self.polls += 1
         await anyio.sleep(0.01)
         return BoxNoAnswer("nothing new")
 
@@ -307,12 +307,12 @@
             NodeMetrics(),
             OrderWindow(),
             measured,
-            LookBudget(3900),
+            PollBudget(3900),
         )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(keeper.run)
             await anyio.sleep(span)
-            context.before = context.quick.looks
+            context.before = context.quick.polls
             measured.lag_s = lag
             await anyio.sleep(span)
             tasks.cancel_scope.cancel()
@@ -322,5 +322,5 @@
 
 @then("it looks at most a third as often")
 def looks_less(context):
-    after = context.quick.looks - context.before
+    after = context.quick.polls - context.before
     assert 0 < after <= context.before / 3, (context.before, after)
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -170,10 +170,10 @@
 class SilentBoxes(BoxCalls):
     """Boxes that never answer."""
 
-    async def look(self, *args):
+    async def poll(self, *args):
         await anyio.sleep_forever()
 
-    start = stop = pace = look
+    start = stop = pace = poll
 
 
 class Turns:
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -10,7 +10,6 @@
 from granitetrestle.decider import Decider
 from granitetrestle.decisions import StopTask
 from granitetrestle.interference import Interference
-from granitetrestle.lookbudget import LookBudget
 from granitetrestle.looplag import LoopLag
 from granitetrestle.nodemetrics import NodeMetrics
 from granitetrestle.orderwindow import OrderWindow
@@ -23,6 +22,7 @@
 from granitetrestle.pacing import StepLoads
 from granitetrestle.pacing import observe
 from granitetrestle.pacing import pace_changes
+from granitetrestle.pollbudget import PollBudget
 from granitetrestle.serviceload import StepLoad
 from granitetrestle.shardstate import DeciderTerms
 from granitetrestle.workflows import RUNNING
@@ -143,7 +143,7 @@
     context.names = [task.name for task in workflow.tasks.values()]
 
 
-def look(context, now, figure):
+def poll(context, now, figure):
     """Let the decider see the box, and return the paces it then wants."""
     serving, filler = context.names
     context.box.running = {
@@ -161,19 +161,19 @@
 @then("what fills is slowed to a stand within 2 seconds, and not before 1.5")
 def slowed(context):
     context.loads = StepLoads()
-    paces = {tick * 0.5: look(context, 10.0 + tick * 0.5, 400.0) for tick in range(5)}
+    paces = {tick * 0.5: poll(context, 10.0 + tick * 0.5, 400.0) for tick in range(5)}
     assert not any(paces[after] for after in (0.0, 0.5, 1.0, 1.5)), paces
     assert paces[2.0] == [0], paces
 
 
 @then("it stays so over one figure below the target, and nothing more is sent there")
 def stays_slowed(context):
-    assert look(context, 12.5, 90.0) == []
+    assert poll(context, 12.5, 90.0) == []
     step = Step(count=1, cpu=1000, image="unknown", fills=True)
     load = box_load(context.box, context.interference, 12.5)
     assert bearable_pace(step, context.box, load, context.interference) == 0.0
     # Well below the target, it goes on.
-    assert look(context, 13.5, 30.0) != []
+    assert poll(context, 13.5, 30.0) != []
     load = box_load(context.box, context.interference, 13.5)
     assert bearable_pace(step, context.box, load, context.interference) > 0.0
 
@@ -184,10 +184,10 @@
     def __init__(self):
         self.now, self.most, self.stopped = 0, 0, []
 
-    async def look(self, *arguments):
+    async def poll(self, *arguments):
         raise NotImplementedError
 
-    start = pace = look
+    start = pace = poll
 
     async def stop(self, order, token):
         self.now += 1
@@ -218,7 +218,7 @@
             NodeMetrics(),
             OrderWindow(),
             LoopLag(),
-            LookBudget(3900),
+            PollBudget(3900),
         )
         async with anyio.create_task_group() as tasks:
             for number in range(30):
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -42,7 +42,7 @@
         for incarnation, tasks in load.running.items():
             for task, (run, _) in list(tasks.items()):
                 load._end(incarnation, task, run, "done")
-            load._look(incarnation)
+            load._poll(incarnation)
         total += size(decider)
     return total
 
@@ -245,9 +245,9 @@
             if run.task == first.name:
                 box.end(run.task, "done", world.now)
                 context.incarnation = box.incarnation
-    look = world.look(leader, context.incarnation, 0, None)
+    poll = world.poll(leader, context.incarnation, 0, None)
     leader.apply(
-        leader.decider.fleet.looked(context.incarnation, world.now, world.now, look)
+        leader.decider.fleet.looked(context.incarnation, world.now, world.now, poll)
     )
     records = leader.decider.take_writes()
     world.store.append(JOBS, records, Writer(leader.epoch, leader.sequence + 1))
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -15,8 +15,8 @@
 from granitetrestle.errors import MalformedEntry
 from granitetrestle.outside import BoxNoAnswer
 from granitetrestle.outside import BoxReplaced
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import Record
 from granitetrestle.outside import TaskOrder
 from granitetrestle.platform.boxes import PlatformBoxes
@@ -115,13 +115,13 @@
         (item,) = json.loads(answer.content)["items"]
         return decode_entry(Record(item["key"], base64.b64decode(item["value"])))
 
-    async def look(self, entry, known=0, until=None):
-        return await self._boxes.look(
+    async def poll(self, entry, known=0, until=None):
+        return await self._boxes.poll(
             entry.incarnation, entry.address, EPOCH, known, until, 0
         )
 
     async def start(self, entry, task, lasts_ms):
-        clock = (await self.look(entry)).clock_ms
+        clock = (await self.poll(entry)).clock_ms
         return await self.late_start(entry, task, lasts_ms, clock)
 
     async def late_start(self, entry, task, lasts_ms, clock):
@@ -145,10 +145,10 @@
 async def ended(meant, entry, number):
     """Wait until the box lists so many ends, and return the look."""
     while True:
-        look = await meant.look(entry)
-        assert isinstance(look, Look), look
-        if len(look.ended) >= number:
-            return look
+        poll = await meant.poll(entry)
+        assert isinstance(poll, PollResult), poll
+        if len(poll.ended) >= number:
+            return poll
         await anyio.sleep(0.05)
 
 
@@ -185,7 +185,7 @@
     ),
     "stop": lambda meant, c: meant.stop(c.before, named(2)),
     "pace": lambda meant, c: meant.pace(c.before, named(2)),
-    "look": lambda meant, c: meant.look(c.before, 1, c.shown.clock_ms + LEASE_MS),
+    "look": lambda meant, c: meant.poll(c.before, 1, c.shown.clock_ms + LEASE_MS),
 }
 
 
@@ -197,7 +197,7 @@
             await part(meant)
         context.outcome = await CALLS[call](meant, context)
         await anyio.sleep(0.1)
-        context.shown_then = await meant.look(context.after)
+        context.shown_then = await meant.poll(context.after)
 
     anyio.run(all_of_it)
 
@@ -265,17 +265,17 @@
     return await boxes.start(order, EPOCH, "10", 4000, "", "")
 
 
-async def look(boxes, context, known, until):
+async def poll(boxes, context, known, until):
     told = context.told
-    return await boxes.look(context.incarnation, told.address, EPOCH, known, until, 0)
+    return await boxes.poll(context.incarnation, told.address, EPOCH, known, until, 0)
 
 
 @when("a first look, a start and a look that confirms ends each come as first to it")
 def each_as_first(context):
     async def script(_):
-        context.first = await look(PlatformBoxes(Caller()), context, 0, None)
+        context.first = await poll(PlatformBoxes(Caller()), context, 0, None)
         context.started = await start(PlatformBoxes(Caller()), context)
-        context.looked = await look(PlatformBoxes(Caller()), context, 3, 4000)
+        context.looked = await poll(PlatformBoxes(Caller()), context, 3, 4000)
 
     context.told.play(script)
 
@@ -283,7 +283,7 @@
 @then("all are {come_to}, and the start has {reached} it")
 def come_to(context, come_to, reached):
     kinds = {
-        "carried out": (Look, OrderAccepted, Look),
+        "carried out": (PollResult, OrderAccepted, PollResult),
         "answered by another life": (BoxReplaced,) * 3,
         "not answered": (BoxNoAnswer,) * 3,
     }
@@ -304,10 +304,10 @@
     told = context.told
 
     async def script(boxes):
-        await look(boxes, context, 0, None)
+        await poll(boxes, context, 0, None)
         for _ in range(3):
             await start(boxes, context)
-        await look(boxes, context, 3, 4000)
+        await poll(boxes, context, 3, 4000)
         context.first = list(told.paths), len(told.connections)
         told.connections[0].close()
         await asyncio.sleep(0.05)
@@ -336,7 +336,7 @@
     async def script(boxes):
         assert isinstance(await start(boxes, context), OrderAccepted)
         told.born = {"born": 6}
-        context.looked = await look(boxes, context, 3, 4000)
+        context.looked = await poll(boxes, context, 3, 4000)
         context.started = await start(boxes, context)
 
     told.play(script)
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -17,8 +17,8 @@
 from granitetrestle.nodemetrics import NodeMetrics
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import BoxReplaced
-from granitetrestle.outside import Look
 from granitetrestle.outside import Newest
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import RunningTask
 from granitetrestle.outside import StoreUnavailable
 from granitetrestle.outside import Writer
@@ -263,14 +263,14 @@
 def listing_box(context):
     context.world = SessionWorld(WaitingStore(StoreModel()), 1, context.folder)
     model = context.world.boxes.models["b0"]
-    look = model.look
+    poll = model.poll
 
     def some(*args):
-        outcome = look(*args)
+        outcome = poll(*args)
         ended = getattr(outcome, "ended", ())
         return outcome._replace(ended=ended[:ENDS_LISTED]) if ended else outcome
 
-    model.look = some
+    model.poll = some
 
 
 @when(
@@ -294,18 +294,18 @@
                     await anyio.sleep(0.01)
 
     model = world.boxes.models["b0"]
-    look = world.boxes.look
+    poll = world.boxes.poll
 
     async def look_unless_first(incarnation, address, token, *rest):
         # Nothing ends while the first decider starts, so that none of it is noted.
         if token == 1:
-            seen = model.look(0, rest[1], token, time.monotonic())
+            seen = model.poll(0, rest[1], token, time.monotonic())
             await anyio.sleep(0.05)
             return seen
         await anyio.sleep(ON_THE_WAY_S)
-        return await look(incarnation, address, token, *rest)
+        return await poll(incarnation, address, token, *rest)
 
-    world.boxes.look = look_unless_first
+    world.boxes.poll = look_unless_first
     anyio.run(script)
 
 
@@ -329,16 +329,16 @@
     decider = context.decider = Decider(TERMS, 0.0)
     decider.configured(CONFIG)
     decider.fleet.listed({"first": entry("first")}, 0.0)
-    decider.fleet.looked("first", 0.1, 0.1, Look(100, (), ()))
+    decider.fleet.looked("first", 0.1, 0.1, PollResult(100, (), ()))
     both = {"first": entry("first"), "second": entry("second")}
     decider.fleet.listed(both, 1.0)
     decider.fleet.looked("first", 1.1, 1.1, BoxReplaced())
-    decider.fleet.looked("second", 1.1, 1.1, Look(100, (), ()))
+    decider.fleet.looked("second", 1.1, 1.1, PollResult(100, (), ()))
     decider.called("r", SubmitJob(submission(1, 100)), 1.2)
     (start,) = [d for d in decider.decide(1.2, 1200) if isinstance(d, StartTask)]
     assert start.incarnation == "second", start
     running = (RunningTask(start.task, start.run, "", 10, 0.0),)
-    decider.fleet.looked("second", 1.3, 1.3, Look(300, running, ()))
+    decider.fleet.looked("second", 1.3, 1.3, PollResult(300, running, ()))
 
 
 @when("the list of boxes shows the earlier life alone")
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -24,8 +24,8 @@
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
 from granitetrestle.overload import bearable_stretch
@@ -72,9 +72,9 @@
         self.ends = 0
         self.notes = []
         for incarnation in self.entries:
-            self.look(incarnation)
+            self.poll(incarnation)
 
-    def look(self, incarnation, ended=()):
+    def poll(self, incarnation, ended=()):
         box = self.decider.state.boxes[incarnation]
         over = {row.task for row in ended}
         running = tuple(
@@ -82,13 +82,13 @@
             for task in box.tasks.values()
             if task.name not in over
         )
-        outcome = Look(1000, running, tuple(ended))
+        outcome = PollResult(1000, running, tuple(ended))
         self.take(self.decider.fleet.looked(incarnation, self.now, self.now, outcome))
 
     def end(self, task, how):
         self.ends += 1
         row = EndedRun(self.ends, task.name, task.run, how, "")
-        self.look(task.box, [row])
+        self.poll(task.box, [row])
 
     def take(self, decisions):
         for decision in decisions:
@@ -220,7 +220,7 @@
     desk.now += 1.0
     desk.__dict__.update(entries={"b0": Desk(1).entries["b0"]})
     desk.decider.fleet.listed(desk.entries, desk.now)
-    desk.look("b0")
+    desk.poll("b0")
     desk.decide()
     desk.now += 2.0
     desk.end(first, "failed")
@@ -390,7 +390,7 @@
 def listed_done(context):
     desk = context.desk
     desk.ends += 1
-    desk.look(
+    desk.poll(
         context.incarnation, [EndedRun(desk.ends, context.task.name, 1, "done", "")]
     )
 
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -10,7 +10,7 @@
 from granitetrestle.decisions import StartTask
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.outside import Advice
-from granitetrestle.outside import Look
+from granitetrestle.outside import PollResult
 from granitetrestle.packing import Packer
 from granitetrestle.packing import Ranking
 from granitetrestle.workflows import Step
@@ -171,7 +171,7 @@
     decider.configured(CONFIG._replace(queues=(queue,)))
     decider.fleet.listed(world.entries, 0.0)
     for incarnation in world.entries:
-        decider.fleet.looked(incarnation, 0.0, 0.1, Look(100, (), ()))
+        decider.fleet.poll_answered(incarnation, 0.0, 0.1, PollResult(100, (), ()))
     decider.called("r", SubmitJob(Submission("1", "q", "pool", "", ONE)), 0.2)
     (asked,) = decider.decide(0.3, 0)
     assert isinstance(asked, AskAdvice) and len(asked.incarnations) == 3, asked
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -15,8 +15,8 @@
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
 from granitetrestle.shardstate import DeciderTerms
@@ -110,9 +110,11 @@
                 RunningTask(task, run, "", 50, float(TASK_CPU))
                 for task, run in running.items()
             )
-            look = Look(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
-            self.decider.fleet.plan_look(incarnation, self.now, True)
-            self.take(self.decider.fleet.looked(incarnation, self.now, self.now, look))
+            poll = PollResult(
+                int(self.now * 1000), rows, tuple(self.ended[incarnation])
+            )
+            self.decider.fleet.plan_poll(incarnation, self.now, True)
+            self.take(self.decider.fleet.looked(incarnation, self.now, self.now, poll))
         self.take(self.decider.decide(self.now, 0))
 
     def take(self, decisions):
--- a/src/granitetrestle/boxlife.py
+++ b/src/granitetrestle/boxlife.py
@@ -11,8 +11,6 @@
 from .decisions import PaceTask
 from .decisions import StartTask
 from .decisions import StopTask
-from .lookbudget import LookBudget
-from .lookbudget import LookTerms
 from .looplag import LoopLag
 from .nodemetrics import NodeMetrics
 from .orderwindow import FILLS
@@ -22,11 +20,13 @@
 from .outside import BoxCalls
 from .outside import BoxNoAnswer
 from .outside import BoxReplaced
-from .outside import Look
 from .outside import OrderNotSent
 from .outside import OrderOutcome
 from .outside import OrderRejected
+from .outside import PollResult
 from .outside import TaskOrder
+from .pollbudget import PollBudget
+from .pollbudget import PollParameters
 from .right import Right
 
 __all__ = ["BoxKeeper"]
@@ -67,7 +67,7 @@
         metrics: NodeMetrics,
         window: OrderWindow,
         lag: LoopLag,
-        budget: LookBudget,
+        budget: PollBudget,
     ) -> None:
         self._budget = budget
         self._window = window
@@ -98,12 +98,12 @@
     async def run(self) -> None:
         """Look at the box until it is left."""
         with self._left:
-            await self._look_on()
+            await self._poll_on()
         self._budget.forget(self._incarnation)
 
-    async def _look_on(self) -> None:
+    async def _poll_on(self) -> None:
         failures = 0
-        while (terms := await self._look()) is not None:
+        while (terms := await self._poll()) is not None:
             box = self._decider.state.boxes.get(self._incarnation)
             if box is None:
                 return
@@ -119,7 +119,7 @@
             await self._pause(terms)
             await self._give_way()
 
-    async def _pause(self, terms: LookTerms) -> None:
+    async def _pause(self, terms: PollParameters) -> None:
         """Ask nothing for a while; a box that gets work is looked at again at once, also
         if it came while the last look was under way: its lease must not lapse."""
         if not terms.pause_s:
@@ -142,7 +142,7 @@
         if lag_s > BUSY_LAG_S:
             await anyio.sleep(min(MOST_WAY_S, WAY_FACTOR * (lag_s - BUSY_LAG_S)))
 
-    async def _look(self) -> LookTerms | None:
+    async def _poll(self) -> PollParameters | None:
         """Look once; returns how, or ``None`` if the box is not ours any more."""
         box = self._decider.state.boxes.get(self._incarnation)
         if box is None:
@@ -150,18 +150,18 @@
         kind = self._budget.opening_kind(box)
         if kind is None:
             terms = self._budget.terms(box)
-            return terms if await self._look_once(terms.waits) else None
+            return terms if await self._poll_once(terms.waits) else None
         async with self._budget.opening.turn(kind, self._incarnation) as turn:
-            if not await self._look_once(waits=False):
+            if not await self._poll_once(waits=False):
                 return None
             box = self._decider.state.boxes.get(self._incarnation)
             answered = box is not None and box.silent_since is None
             turn.ended(answered, time.monotonic())
-        return LookTerms(False, 0.0, False)
+        return PollParameters(False, 0.0, False)
 
-    async def _look_once(self, waits: bool) -> bool:
+    async def _poll_once(self, waits: bool) -> bool:
         sent = time.monotonic()
-        plan = self._decider.fleet.plan_look(
+        plan = self._decider.fleet.plan_poll(
             self._incarnation, sent, self._right.may_renew()
         )
         if plan is None:
@@ -170,7 +170,7 @@
         if wait_ms:
             self._budget.began()
         try:
-            outcome = await self._boxes.look(
+            outcome = await self._boxes.poll(
                 self._incarnation,
                 plan.address,
                 self._epoch,
@@ -182,10 +182,12 @@
             if wait_ms:
                 self._budget.ended()
         now = time.monotonic()
-        self._metrics.looks += 1
-        if isinstance(outcome, Look) and outcome.ended:
+        self._metrics.polls += 1
+        if isinstance(outcome, PollResult) and outcome.ended:
             self._metrics.count("ends_listed", len(outcome.ended))
-        self._apply(self._decider.fleet.looked(self._incarnation, sent, now, outcome))
+        self._apply(
+            self._decider.fleet.poll_answered(self._incarnation, sent, now, outcome)
+        )
         return True
 
     async def carry_out(self, order: StartTask | StopTask | PaceTask) -> None:
--- a/src/granitetrestle/boxnotes.py
+++ b/src/granitetrestle/boxnotes.py
@@ -2,23 +2,23 @@
 
 from .boxes import BoxView
 from .decisions import Noted
-from .outside import Look
+from .outside import PollResult
 from .workflows import STATE_NAMES
 from .workflows import Task
 
 __all__ = ["contradictions", "run_lost"]
 
 
-def contradictions(box: BoxView, look: Look) -> list[Noted]:
+def contradictions(box: BoxView, poll: PollResult) -> list[Noted]:
     """Note what one life of a box never does: its clock goes back, or it lists an end
     that it was told is known. The first is noted each time, the second once."""
-    passed_over = sum(row.number <= box.told_known for row in look.ended)
+    passed_over = sum(row.number <= box.told_known for row in poll.ended)
     first = passed_over and not box.passed_over
     box.passed_over += passed_over
-    if look.clock_ms >= box.clock_ms and not first:
+    if poll.clock_ms >= box.clock_ms and not first:
         return []
     inputs = {
-        "clock_ms": look.clock_ms,
+        "clock_ms": poll.clock_ms,
         "clock_before_ms": box.clock_ms,
         "ends": passed_over,
         "told_known": box.told_known,
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -25,9 +25,9 @@
 from .mechanisms import Mechanism
 from .outside import BoxEntry
 from .outside import BoxReplaced
-from .outside import Look
-from .outside import LookOutcome
 from .outside import OrderRejected
+from .outside import PollOutcome
+from .outside import PollResult
 from .pacing import observe
 from .pacing import pace_changes
 from .progress import Progress
@@ -40,22 +40,22 @@
 from .workflows import STOPPING
 from .workflows import Task
 
-__all__ = ["Fleet", "LookPlan"]
+__all__ = ["Fleet", "PollPlan"]
 
 # A box that has not answered for so long gets no more lease, so that what it runs
 # has a known end. Two looks and their time-outs fit in. Without it a box that is silent
 # for longer than a lease loses what it does meanwhile, and it is done twice.
 SILENT_S: t.Final = 1.2
 # A look waits so long for an end; shorter where the pace may have to change.
-LOOK_WAIT_MS: t.Final = 1500
-LOOK_WAIT_PACED_MS: t.Final = 500
+POLL_WAIT_MS: t.Final = 1500
+POLL_WAIT_PACED_MS: t.Final = 500
 # A stop that was answered shows in the list of ends within the box's own limit; a
 # run that is in neither list so long after was never there.
 STOP_AGAIN_S: t.Final = 0.6
 UNHEALTHY_S: t.Final = 1.0
 
 
-class LookPlan(t.NamedTuple):
+class PollPlan(t.NamedTuple):
     """What the next look at a box carries.
 
     :param lease_ends_ms: new end of the lease on the box's clock; ``None`` for none.
@@ -244,9 +244,9 @@
                 effects += leases.give_back(incarnation)
         return effects
 
-    def plan_look(
+    def plan_poll(
         self, incarnation: str, now: float, may_renew: bool
-    ) -> LookPlan | None:
+    ) -> PollPlan | None:
         """Return the next look at a box, or ``None`` if it is not ours any more.
 
         :param may_renew: whether this process was confirmed as decider of late.
@@ -255,12 +255,12 @@
         if box is None:
             return None
         undurable = box.known > box.durable_known
-        wait = LOOK_WAIT_PACED_MS if box.serving and box.fill_cpu else LOOK_WAIT_MS
+        wait = POLL_WAIT_PACED_MS if box.serving and box.fill_cpu else POLL_WAIT_MS
         if undurable or not box.adopted:
             wait = 0
         until = self.lease_until(box, now) if may_renew else None
         box.told_known = box.durable_known
-        return LookPlan(box.entry.address, box.durable_known, until, wait)
+        return PollPlan(box.entry.address, box.durable_known, until, wait)
 
     def lease_until(self, box: BoxView, now: float) -> int | None:
         """Return the end of a lease renewed now, on the box's clock in ms."""
@@ -273,8 +273,8 @@
         elapsed = now - box.clock_at
         return box.clock_ms + int((elapsed + terms.lease_s) * 1000)
 
-    def looked(
-        self, incarnation: str, sent: float, now: float, outcome: LookOutcome
+    def poll_answered(
+        self, incarnation: str, sent: float, now: float, outcome: PollOutcome
     ) -> list[Decision]:
         """Apply the outcome of a look that was sent at ``sent``."""
         box = self._state.boxes.get(incarnation)
@@ -282,7 +282,7 @@
             return []
         if isinstance(outcome, BoxReplaced):
             return self.box_over(incarnation, "another life answered", now)
-        if isinstance(outcome, Look):
+        if isinstance(outcome, PollResult):
             return self._seen(box, outcome, sent, now)
         if isinstance(outcome, OrderRejected):
             return self._rejected(box, outcome, now)
@@ -307,7 +307,7 @@
         return [Noted("box_silent", box.incarnation, inputs)]
 
     def _seen(
-        self, box: BoxView, look: Look, sent: float, now: float
+        self, box: BoxView, poll: PollResult, sent: float, now: float
     ) -> list[Decision]:
         effects: list[Decision] = [
             *self._state.withdrawn_leases.give_back(box.incarnation)
@@ -320,19 +320,19 @@
             )
             box.silent_since = None
             box.lost_at = 0.0
-        effects += contradictions(box, look)
-        box.clock_ms, box.clock_at = look.clock_ms, now
-        for row in look.ended:
+        effects += contradictions(box, poll)
+        box.clock_ms, box.clock_at = poll.clock_ms, now
+        for row in poll.ended:
             if row.number > box.known:
                 effects += self._progress.run_ended(box.incarnation, row, now)
-        known = max((row.number for row in look.ended), default=0)
+        known = max((row.number for row in poll.ended), default=0)
         if known > box.known:
             box.known = known
             effects.append(EndsKnown(box.incarnation, known))
-        box.running = {row.task: row for row in look.running}
+        box.running = {row.task: row for row in poll.running}
         placed = len(box.tasks)
         effects += self._compare(box, sent, now)
-        if look.more_ends:
+        if poll.more_ends:
             # What is in neither list may have ended: a successor would take it for never
             # begun, and start it again.
             return effects + self._keep_targets(box, now)
@@ -344,8 +344,8 @@
             lease_ends = now + self._state.terms.lease_bound_s
             box.lease_ends = min(box.lease_ends, lease_ends)
             inputs = {
-                "running": len(look.running),
-                "ended": len(look.ended),
+                "running": len(poll.running),
+                "ended": len(poll.ended),
                 "not_there": placed - len(box.tasks),
             }
             effects.append(Noted("box_adopted", box.incarnation, inputs))
--- a/src/granitetrestle/nodemetrics.py
+++ b/src/granitetrestle/nodemetrics.py
@@ -40,7 +40,7 @@
             ["what"],
             registry=self._registry,
         )
-        self.looks = 0
+        self.polls = 0
 
     def count(self, event: str, number: int = 1) -> None:
         """Count decisions of a kind."""
--- a/src/granitetrestle/outside.py
+++ b/src/granitetrestle/outside.py
@@ -19,8 +19,8 @@
     "EndedRun",
     "Fenced",
     "HallOrder",
-    "Look",
-    "LookOutcome",
+    "PollResult",
+    "PollOutcome",
     "Newest",
     "NumberTaken",
     "NewestPage",
@@ -325,7 +325,7 @@
     saved: str
 
 
-class Look(t.NamedTuple):
+class PollResult(t.NamedTuple):
     """All that runs on a box, and the ends not yet known, the first ones first.
 
     :param more_ends: whether there may be ends that are listed only once these are known.
@@ -337,7 +337,7 @@
     more_ends: bool = False
 
 
-LookOutcome: t.TypeAlias = Look | OrderRejected | BoxReplaced | BoxNoAnswer
+PollOutcome: t.TypeAlias = PollResult | OrderRejected | BoxReplaced | BoxNoAnswer
 
 
 class Advice(t.NamedTuple):
@@ -371,7 +371,7 @@
     """Calls to boxes; each carries the caller's fencing token."""
 
     @abc.abstractmethod
-    async def look(
+    async def poll(
         self,
         incarnation: str,
         address: str,
@@ -379,7 +379,7 @@
         known: int,
         lease_ends_ms: int | None,
         wait_ms: int,
-    ) -> LookOutcome:
+    ) -> PollOutcome:
         """Confirm ends up to ``known``, extend the lease, return what runs.
 
         :param lease_ends_ms: end of the lease of all that runs, on the box's clock.
--- a/src/granitetrestle/platform/boxes.py
+++ b/src/granitetrestle/platform/boxes.py
@@ -19,11 +19,11 @@
 from ..outside import BoxNoAnswer
 from ..outside import BoxReplaced
 from ..outside import EndedRun
-from ..outside import Look
-from ..outside import LookOutcome
 from ..outside import OrderAccepted
 from ..outside import OrderOutcome
 from ..outside import OrderRejected
+from ..outside import PollOutcome
+from ..outside import PollResult
 from ..outside import Record
 from ..outside import RunningTask
 from ..outside import TaskOrder
@@ -33,14 +33,14 @@
 # Boxes answer within some 3 ms; a slow hall link or a busy box of ours takes more.
 ORDER_TIMEOUT_S: t.Final = 0.4
 # Beyond the time that a look may wait.
-LOOK_TIMEOUT_S: t.Final = 0.7
+POLL_TIMEOUT_S: t.Final = 0.7
 OK: t.Final = 200
 BAD_REQUEST: t.Final = 400
 CONFLICT: t.Final = 409
 OTHER_ID: t.Final = 421
 UNWELL: t.Final = (429, 503)
 ID_HEADER: t.Final = b"expect-instance"
-LOOK_PATH: t.Final = "/api/hold"
+POLL_PATH: t.Final = "/api/hold"
 # Ends that one answer of a box lists.
 ENDS_AT_ONCE: t.Final = 500
 # Of an answer. The page bounds neither the tasks on a box nor their checkpoints; a box
@@ -83,7 +83,7 @@
     born: _Born | None = None
 
 
-class _LookAnswer(msgspec.Struct):
+class _PollAnswer(msgspec.Struct):
     clock_ms: int
     running: list[list[t.Any]] = []
     finished: list[list[t.Any]] = []
@@ -96,7 +96,7 @@
 
 _entries = msgspec.json.Decoder(_Entry)
 _births = msgspec.json.Decoder(_Birth)
-_looks = msgspec.json.Decoder(_LookAnswer)
+_polls = msgspec.json.Decoder(_PollAnswer)
 _orders = msgspec.json.Decoder(_OrderAnswer)
 _encode = msgspec.json.Encoder().encode
 
@@ -157,7 +157,7 @@
     def question(self) -> Request:
         """See :meth:`.Party.question`: a look that confirms nothing and renews nothing."""
         body = _encode({"fencing_token": self._token, "last_seen": 0})
-        return Request(LOOK_PATH, self.headers, body)
+        return Request(POLL_PATH, self.headers, body)
 
     def is_met(self, reply: Reply) -> bool | None:
         """See :meth:`.Party.is_met`."""
@@ -179,7 +179,7 @@
     def __init__(self, caller: Caller) -> None:
         self._caller = caller
 
-    async def look(
+    async def poll(
         self,
         incarnation: str,
         address: str,
@@ -187,16 +187,16 @@
         known: int,
         lease_ends_ms: int | None,
         wait_ms: int,
-    ) -> LookOutcome:
-        """See :meth:`.outside.BoxCalls.look`."""
+    ) -> PollOutcome:
+        """See :meth:`.outside.BoxCalls.poll`."""
         body: dict[str, t.Any] = {"fencing_token": token, "last_seen": known}
         if lease_ends_ms is not None:
             body["until_ms"] = lease_ends_ms
         if wait_ms:
             body["wait_ms"] = wait_ms
-        timeout_s = LOOK_TIMEOUT_S + wait_ms / 1000.0
+        timeout_s = POLL_TIMEOUT_S + wait_ms / 1000.0
         party = _Incarnation(incarnation, token)
-        request = Request(LOOK_PATH, party.headers, _encode(body))
+        request = Request(POLL_PATH, party.headers, _encode(body))
         reply = await self._caller.call_party(
             party,
             address,
@@ -211,7 +211,7 @@
         if reply.status != OK:
             return _refused(reply)
         try:
-            return _decode_look(reply.body)
+            return _decode_poll(reply.body)
         except (msgspec.DecodeError, IndexError, ValueError, TypeError) as error:
             return BoxNoAnswer(f"malformed answer: {error}")
 
@@ -311,11 +311,11 @@
     return OrderRejected(answer.reason, answer.clock_ms)
 
 
-def _decode_look(body: bytes) -> Look:
-    raw = _looks.decode(body)
+def _decode_poll(body: bytes) -> PollResult:
+    raw = _polls.decode(body)
     running = tuple(
         RunningTask(row[0], row[1], row[2], row[3], row[4] if len(row) > 4 else 0.0)
         for row in raw.running
     )
     ended = tuple(EndedRun(*row[:5]) for row in raw.finished)
-    return Look(raw.clock_ms, running, ended, len(ended) >= ENDS_AT_ONCE)
+    return PollResult(raw.clock_ms, running, ended, len(ended) >= ENDS_AT_ONCE)
--- a/src/granitetrestle/lookbudget.py
+++ b/src/granitetrestle/pollbudget.py
@@ -15,7 +15,7 @@
 from .orderwindow import SHORT
 from .orderwindow import OrderWindow
 
-__all__ = ["LookBudget", "LookTerms"]
+__all__ = ["PollBudget", "PollParameters"]
 
 # Parts of a process's connections that looks may hold while they wait: at boxes that run
 # nothing, and in all. The rest is for orders (256 at once), peers, which take up to three
@@ -26,7 +26,7 @@
 BUSY_PAUSE_S: t.Final = 0.8
 # Looks a second at boxes that run nothing, all together: a small part of what the smallest
 # process can make. The store's list says sooner which of them are gone.
-IDLE_LOOKS_PER_S: t.Final = 60.0
+IDLE_POLLS_PER_S: t.Final = 60.0
 IDLE_PAUSE_S: t.Final = 2.0
 
 
@@ -36,7 +36,7 @@
 OPENING_AT_LEAST: t.Final = 16
 
 
-class LookTerms(t.NamedTuple):
+class PollParameters(t.NamedTuple):
     """How a look is made.
 
     :param waits: whether its answer may wait for an end.
@@ -64,7 +64,7 @@
             self._grow(1.0)
 
 
-class LookBudget:
+class PollBudget:
     """Shared by all looks of a decider.
 
     :param connections: how many this process may have open.
@@ -97,18 +97,18 @@
             return None
         return FIRST if box.tasks else SHORT
 
-    def terms(self, box: BoxView) -> LookTerms:
+    def terms(self, box: BoxView) -> PollParameters:
         """Return how the next look at an adopted box is made."""
         part = BUSY_PART if box.tasks else IDLE_PART
         if self._waiting < part * self._connections:
             self._paused.discard(box.incarnation)
-            return LookTerms(True, 0.0, not box.tasks)
+            return PollParameters(True, 0.0, not box.tasks)
         if box.tasks:
             self._paused.discard(box.incarnation)
-            return LookTerms(False, BUSY_PAUSE_S, False)
+            return PollParameters(False, BUSY_PAUSE_S, False)
         self._paused.add(box.incarnation)
-        share_s = len(self._paused) / IDLE_LOOKS_PER_S
-        return LookTerms(False, max(IDLE_PAUSE_S, math.ceil(share_s)), True)
+        share_s = len(self._paused) / IDLE_POLLS_PER_S
+        return PollParameters(False, max(IDLE_PAUSE_S, math.ceil(share_s)), True)
 
     def forget(self, incarnation: str) -> None:
         """A box is not looked at any more."""
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -38,7 +38,6 @@
 from .journal import Journal
 from .journal import NotKept
 from .lastingwaits import WaitCause
-from .lookbudget import LookBudget
 from .looplag import LoopLag
 from .mechanisms import Mechanism
 from .newestread import read_newest
@@ -52,6 +51,7 @@
 from .outside import Newest
 from .outside import NewestUnavailable
 from .outside import Record
+from .pollbudget import PollBudget
 from .right import JournalRight
 from .shardstate import DeciderTerms
 from .slices import in_slices
@@ -117,7 +117,7 @@
         self._come_back: ComeBack = SteadyReturns() if steady else FollowingOutage()
         limited = Mechanism.ORDER_WINDOW not in terms.off
         self._window = OrderWindow(lag=self._lag) if limited else OpenWindow()
-        self._budget = LookBudget(terms.connections)
+        self._budget = PollBudget(terms.connections)
         self._loaded_at = time.monotonic()
         self._callers: dict[str, _Caller] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
--- a/src/granitetrestle_bench/deciding.py
+++ b/src/granitetrestle_bench/deciding.py
@@ -26,8 +26,8 @@
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
 from granitetrestle.shardstate import DeciderTerms
@@ -39,7 +39,7 @@
 FLAGS: t.Final = flags.FLAGS
 FULL_BOXES: t.Final = 270
 DECIDE_EVERY_S: t.Final = 0.05
-LOOK_EVERY_S: t.Final = 0.5
+POLL_EVERY_S: t.Final = 0.5
 QUEUES: t.Final = (
     Queue("short", "h", "/short/", "pool", 0, 3, 1.5, 250.0),
     Queue("fill", "h", "/fill/", "pool", 2, 2, 2.0, 1000.0),
@@ -77,14 +77,14 @@
 class DecidingCost(t.NamedTuple):
     """Shares of a core.
 
-    :param decide: for deciding; ``looks`` for taking up looks at boxes.
+    :param decide: for deciding; ``polls`` for taking up looks at boxes.
     :param write: for what must be written; ``written_mb_s`` how much that is.
     :param waiting: tasks without a box at the end.
     """
 
     boxes: int
     decide: float
-    looks: float
+    polls: float
     write: float
     written_mb_s: float
     starts_s: float
@@ -119,7 +119,7 @@
                 self.ended[incarnation],
                 self.count[incarnation],
             ) = {}, [], 0
-            self._look(incarnation)
+            self._poll(incarnation)
         for kind in KINDS:
             for _ in range(round(kind.first * self.share)):
                 self._submit(kind)
@@ -206,16 +206,18 @@
             EndedRun(self.count[incarnation], task, run, how, "")
         )
 
-    def _look(self, incarnation: str) -> None:
-        plan = self.decider.fleet.plan_look(incarnation, self.now, True)
+    def _poll(self, incarnation: str) -> None:
+        plan = self.decider.fleet.plan_poll(incarnation, self.now, True)
         assert plan is not None
         rows = tuple(
             RunningTask(name, run, "", 50, self._figure(step))
             for name, (run, step) in self.running[incarnation].items()
         )
-        look = Look(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
+        poll = PollResult(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
         began = time.process_time()
-        decisions = self.decider.fleet.looked(incarnation, self.now, self.now, look)
+        decisions = self.decider.fleet.poll_answered(
+            incarnation, self.now, self.now, poll
+        )
         self.cost["looks"] += time.process_time() - began
         self._apply(decisions)
 
@@ -226,7 +228,7 @@
     def run(self, seconds: float) -> None:
         """Go on for ``seconds`` of virtual time."""
         incarnations = list(self.running)
-        each = max(1, round(len(incarnations) * DECIDE_EVERY_S / LOOK_EVERY_S))
+        each = max(1, round(len(incarnations) * DECIDE_EVERY_S / POLL_EVERY_S))
         turn = 0
         for _ in range(int(seconds / DECIDE_EVERY_S)):
             self.now += DECIDE_EVERY_S
@@ -240,7 +242,7 @@
             while self.ends and self.ends[0][0] <= self.now:
                 self._end(*heapq.heappop(self.ends)[1:], "done")
             for _ in range(each):
-                self._look(incarnations[turn % len(incarnations)])
+                self._poll(incarnations[turn % len(incarnations)])
                 turn += 1
             self._decide()
 
--- a/src/granitetrestle_standins/boxserver.py
+++ b/src/granitetrestle_standins/boxserver.py
@@ -7,9 +7,9 @@
 import time
 import typing as t
 
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
 from granitetrestle.outside import OrderRejected
+from granitetrestle.outside import PollResult
 from granitetrestle_standins.boxprofiles import BoxProfile
 from granitetrestle_standins.boxprofiles import parse_spec
 from granitetrestle_standins.nativebox import BoxModel
@@ -181,22 +181,22 @@
             return
         now = time.monotonic()
         if path == "/api/hold":
-            _look(model, order, now)
+            _poll(model, order, now)
         else:
             _carry_out(model, path, order, now, arrived, True)
 
     async def _hold(self, body: t.Mapping[str, t.Any]) -> Reply:
         model = self.model
         until = time.monotonic() + body.get("wait_ms", 0) / 1000.0
-        look = _look(model, body, time.monotonic())
-        while isinstance(look, Look):
-            if look.ended or time.monotonic() >= until:
-                return _look_reply(model, look)
+        poll = _poll(model, body, time.monotonic())
+        while isinstance(poll, PollResult):
+            if poll.ended or time.monotonic() >= until:
+                return _poll_reply(model, poll)
             await asyncio.sleep(TICK_S)
             now = time.monotonic()
             again = self._profile.looks_again
-            look = _look(model, body, now) if again else model.lists(now)
-        return _order_reply(look)
+            poll = _poll(model, body, now) if again else model.lists(now)
+        return _order_reply(poll)
 
 
 def _run_row(model: BoxModel, run: BoxRun) -> list[t.Any]:
@@ -204,11 +204,11 @@
     return [*row, model.end_counts(run)]
 
 
-def _look(
+def _poll(
     model: BoxModel, body: t.Mapping[str, t.Any], now: float
-) -> Look | OrderRejected:
+) -> PollResult | OrderRejected:
     token = body.get("fencing_token", 0)
-    return model.look(body.get("last_seen", 0), body.get("until_ms"), token, now)
+    return model.poll(body.get("last_seen", 0), body.get("until_ms"), token, now)
 
 
 def _carry_out(
@@ -229,12 +229,12 @@
     return model.pace(task, run, order["percent"], token, now)
 
 
-def _look_reply(model: BoxModel, look: Look) -> Reply:
-    running = [[r.task, r.run, r.saved, r.percent] for r in look.running]
-    ended = [[r.number, r.task, r.run, r.how, r.saved] for r in look.ended]
+def _poll_reply(model: BoxModel, poll: PollResult) -> Reply:
+    running = [[r.task, r.run, r.saved, r.percent] for r in poll.running]
+    ended = [[r.number, r.task, r.run, r.how, r.saved] for r in poll.ended]
     answer = {
         "born": model.born_ms,
-        "clock_ms": look.clock_ms,
+        "clock_ms": poll.clock_ms,
         "running": running,
         "finished": ended,
     }
--- a/src/granitetrestle_standins/nativebox.py
+++ b/src/granitetrestle_standins/nativebox.py
@@ -8,9 +8,9 @@
 import typing as t
 
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import Look
 from granitetrestle.outside import OrderAccepted
 from granitetrestle.outside import OrderRejected
+from granitetrestle.outside import PollResult
 from granitetrestle.outside import RunningTask
 from granitetrestle_standins.boxprofiles import PLAIN_BOX
 from granitetrestle_standins.boxprofiles import BoxProfile
@@ -232,9 +232,9 @@
             current.pace = percent
         return OrderAccepted(clock)
 
-    def look(
+    def poll(
         self, known: int, lease_ends_ms: int | None, token: int, now: float
-    ) -> Look | OrderRejected:
+    ) -> PollResult | OrderRejected:
         """Confirm ends, renew the lease, list what runs and what ended."""
         self.tick(now)
         if self._fenced(token, now):
@@ -257,14 +257,14 @@
             known = self.confirmed
         self._ended = [row for row in self._ended if row.number > known]
 
-    def lists(self, now: float) -> Look:
+    def lists(self, now: float) -> PollResult:
         """Return what runs and what ended, as an answer to a look that waited has it."""
         running = tuple(
             RunningTask(run.task, run.run, "", 0, 0.0) for run in self.running.values()
         )
         listed = tuple(self._ended[:ENDS_AT_A_TIME])
         more = len(listed) >= ENDS_AT_A_TIME
-        return Look(self._clock_ms(now), running, listed, more)
+        return PollResult(self._clock_ms(now), running, listed, more)
 
     def end(self, task: str, how: str, now: float) -> None:
         """Let a run end."""
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -18,7 +18,7 @@
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import Config
 from granitetrestle.outside import HallOrder
-from granitetrestle.outside import LookOutcome
+from granitetrestle.outside import PollOutcome
 from granitetrestle.outside import Records
 from granitetrestle.outside import Writer
 from granitetrestle.shardstate import DeciderTerms
@@ -54,13 +54,13 @@
     def answered(self, decision: AnswerCall) -> None:
         """Note what a caller was told."""
 
-    def look(
+    def poll(
         self,
         sender: "DeciderProcess",
         incarnation: str,
         known: int,
         lease_ends_ms: int | None,
-    ) -> LookOutcome:
+    ) -> PollOutcome:
         """Look at a box."""
 
 
@@ -156,7 +156,7 @@
         self._write()
         for incarnation in list(self.decider.state.boxes):
             if not self.over:
-                self._look(incarnation)
+                self._poll(incarnation)
 
     def _write(self) -> None:
         if self.world.store_down or self.without_store:
@@ -185,14 +185,14 @@
             if box is not None:
                 box.durable_known = max(box.durable_known, decision.number)
 
-    def _look(self, incarnation: str) -> None:
+    def _poll(self, incarnation: str) -> None:
         now = self.now
         if now - self.looked_at.get(incarnation, -1.0) < 2 * STEP_S:
             return
         self.looked_at[incarnation] = now
         renew = now - self.confirmed_at < self.world.terms.orphan_s
-        plan = self.decider.fleet.plan_look(incarnation, now, renew)
+        plan = self.decider.fleet.plan_poll(incarnation, now, renew)
         if plan is None:
             return
-        outcome = self.world.look(self, incarnation, plan.known, plan.lease_ends_ms)
-        self.apply(self.decider.fleet.looked(incarnation, now, now, outcome))
+        outcome = self.world.poll(self, incarnation, plan.known, plan.lease_ends_ms)
+        self.apply(self.decider.fleet.poll_answered(incarnation, now, now, outcome))
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -18,9 +18,9 @@
 from granitetrestle.outside import BoxReplaced
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import LookOutcome
 from granitetrestle.outside import OrderNotSent
 from granitetrestle.outside import OrderOutcome
+from granitetrestle.outside import PollOutcome
 from granitetrestle.outside import Queue
 from granitetrestle.outside import Record
 from granitetrestle.shardstate import DeciderTerms
@@ -310,13 +310,13 @@
             return BoxNoAnswer("connection lost")
         return outcome
 
-    def look(
+    def poll(
         self,
         sender: DeciderProcess,
         incarnation: str,
         known: int,
         lease_ends_ms: int | None,
-    ) -> LookOutcome:
+    ) -> PollOutcome:
         """Look at a box."""
         if self._unreachable(sender, incarnation):
             return BoxNoAnswer("cut")
@@ -326,7 +326,7 @@
         for row in box.unconfirmed():
             if row.number <= known:
                 self._confirmed(box, row)
-        return box.look(known, lease_ends_ms, sender.epoch, self.now)
+        return box.poll(known, lease_ends_ms, sender.epoch, self.now)
 
     def _confirmed(self, box: BoxModel, row: EndedRun) -> None:
         if row.how == "failed":
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -60,8 +60,8 @@
         (
             (
                 "fleet.py",
-                "return LookPlan(box.entry.address, box.durable_known, until, wait)",
-                "return LookPlan(box.entry.address, box.known, until, wait)",
+                "return PollPlan(box.entry.address, box.durable_known, until, wait)",
+                "return PollPlan(box.entry.address, box.known, until, wait)",
             ),
         ),
         "native_decider",
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -111,7 +111,7 @@
         "native: shifted: looks wait without regard to connections",
         (
             (
-                "lookbudget.py",
+                "pollbudget.py",
                 "if self._waiting < part * self._connections:",
                 "if part:",
             ),
@@ -220,7 +220,7 @@
     ),
     Mutant(
         "native: limits: the first 500 ends count as all",
-        (("fleet.py", "        if look.more_ends:", "        if False:"),),
+        (("fleet.py", "        if poll.more_ends:", "        if False:"),),
         "many_ends",
     ),
     Mutant(
