--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -37,7 +37,9 @@
         entries = {f"b{n}": entry(n) for n in range(boxes)}
         self.decider.fleet.listed(entries, 0.0)
         for incarnation in entries:
-            self.decider.fleet.looked(incarnation, 0.0, 0.0, PollResult(100, (), ()))
+            self.decider.fleet.poll_answered(
+                incarnation, 0.0, 0.0, PollResult(100, (), ())
+            )
 
     def submit(self, step):
         self.jobs += 1
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -336,7 +336,7 @@
     def listed(self):
         self.decider.fleet.listed(self.entries, self.now)
         for incarnation in self.entries:
-            self.decider.fleet.looked(
+            self.decider.fleet.poll_answered(
                 incarnation, self.now, self.now, PollResult(1, (), ())
             )
 
@@ -527,7 +527,7 @@
                 )
         halls.now = sent + wait
         poll = PollResult(1, (), ())
-        context.given = decider.fleet.looked(context.at, sent, halls.now, poll)
+        context.given = decider.fleet.poll_answered(context.at, sent, halls.now, poll)
         decider.decide(halls.now, 0)
         if task.run > 1 and context.again_at is None:
             context.again_at = halls.now
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -244,7 +244,7 @@
         decider.evacuation.all_ordered([], (), now)
         decider.evacuation.heard(now)
         decider.fleet.listed({"b": box}, now)
-        decider.fleet.looked("b", now, now, PollResult(1000, (), ()))
+        decider.fleet.poll_answered("b", now, now, PollResult(1000, (), ()))
         decider.called("r", call, now)
         for turn in range(5):
             decider.decide(now + turn * 0.1, 1000 + turn)
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -45,7 +45,7 @@
     desk.submit("job", ONE)
     (task,) = desk.decider.state.workflows["job"].tasks.values()
     lost = BoxNoAnswer("no answer")
-    desk.take(desk.decider.fleet.looked(task.box, desk.now, desk.now, lost))
+    desk.take(desk.decider.fleet.poll_answered(task.box, desk.now, desk.now, lost))
 
 
 def wait_for_predecessor(desk):
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -156,7 +156,9 @@
         )
         poll = PollResult(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
         self.decider.fleet.plan_poll(incarnation, self.now, True)
-        self.take(self.decider.fleet.looked(incarnation, self.now, self.now, poll))
+        self.take(
+            self.decider.fleet.poll_answered(incarnation, self.now, self.now, poll)
+        )
 
     def tick(self, decide=True):
         self.now += 0.1
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -68,7 +68,7 @@
 def placed(context, incarnation):
     decider = new_decider(0.0)
     listed(decider, incarnation, 0.0)
-    decider.fleet.looked(incarnation, 0.1, 0.1, NOTHING)
+    decider.fleet.poll_answered(incarnation, 0.1, 0.1, NOTHING)
     job = Submission(JOB, "q", "pool", "s", (STEP,))
     decider.called("r", SubmitJob(job), 0.2)
     (start,) = [d for d in decided(decider, 0.2) if isinstance(d, StartTask)]
@@ -84,7 +84,9 @@
 
 
 def looked(context, incarnation, outcome, now):
-    context.effects = context.decider.fleet.looked(incarnation, now, now, outcome)
+    context.effects = context.decider.fleet.poll_answered(
+        incarnation, now, now, outcome
+    )
     context.effects += decided(context.decider, now)
 
 
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -227,7 +227,7 @@
     decider.evacuation.heard(0.0)
     decider.fleet.listed(world.entries, 0.0)
     for incarnation in world.entries:
-        decider.fleet.looked(incarnation, 0.0, 0.1, PollResult(100, (), ()))
+        decider.fleet.poll_answered(incarnation, 0.0, 0.1, PollResult(100, (), ()))
     context.good = {max(world.entries)} if which == "only the last" else set()
 
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -268,7 +268,7 @@
             return PollPlan("a", 0, None, 0)
 
         @staticmethod
-        def looked(incarnation, sent, now, outcome):
+        def poll_answered(incarnation, sent, now, outcome):
             return []
 
     class state:
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -247,7 +247,9 @@
                 context.incarnation = box.incarnation
     poll = world.poll(leader, context.incarnation, 0, None)
     leader.apply(
-        leader.decider.fleet.looked(context.incarnation, world.now, world.now, poll)
+        leader.decider.fleet.poll_answered(
+            context.incarnation, world.now, world.now, poll
+        )
     )
     records = leader.decider.take_writes()
     world.store.append(JOBS, records, Writer(leader.epoch, leader.sequence + 1))
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -329,16 +329,16 @@
     decider = context.decider = Decider(TERMS, 0.0)
     decider.configured(CONFIG)
     decider.fleet.listed({"first": entry("first")}, 0.0)
-    decider.fleet.looked("first", 0.1, 0.1, PollResult(100, (), ()))
+    decider.fleet.poll_answered("first", 0.1, 0.1, PollResult(100, (), ()))
     both = {"first": entry("first"), "second": entry("second")}
     decider.fleet.listed(both, 1.0)
-    decider.fleet.looked("first", 1.1, 1.1, BoxReplaced())
-    decider.fleet.looked("second", 1.1, 1.1, PollResult(100, (), ()))
+    decider.fleet.poll_answered("first", 1.1, 1.1, BoxReplaced())
+    decider.fleet.poll_answered("second", 1.1, 1.1, PollResult(100, (), ()))
     decider.called("r", SubmitJob(submission(1, 100)), 1.2)
     (start,) = [d for d in decider.decide(1.2, 1200) if isinstance(d, StartTask)]
     assert start.incarnation == "second", start
     running = (RunningTask(start.task, start.run, "", 10, 0.0),)
-    decider.fleet.looked("second", 1.3, 1.3, PollResult(300, running, ()))
+    decider.fleet.poll_answered("second", 1.3, 1.3, PollResult(300, running, ()))
 
 
 @when("the list of boxes shows the earlier life alone")
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -83,7 +83,9 @@
             if task.name not in over
         )
         outcome = PollResult(1000, running, tuple(ended))
-        self.take(self.decider.fleet.looked(incarnation, self.now, self.now, outcome))
+        self.take(
+            self.decider.fleet.poll_answered(incarnation, self.now, self.now, outcome)
+        )
 
     def end(self, task, how):
         self.ends += 1
--- a/features/steps/unwell_steps.py
+++ b/features/steps/unwell_steps.py
@@ -40,7 +40,7 @@
     decider = context.decider = Decider(TERMS, 0.0)
     decider.configured(CONFIG)
     decider.fleet.listed({"b1": entry("b1")}, 0.0)
-    decider.fleet.looked("b1", 0.1, 0.1, PollResult(100, (), ()))
+    decider.fleet.poll_answered("b1", 0.1, 0.1, PollResult(100, (), ()))
     step = Step(count=1, cpu=500, memory_mb=1, estimate_ms=200)
     job = Submission("1".rjust(16, "0"), "q", "pool", "s", (step,))
     decider.called("r", SubmitJob(job), 0.2)
@@ -54,7 +54,9 @@
 def looked(context, now):
     """Look at the box, which shows nothing; returns what is decided then."""
     decider = context.decider
-    effects = decider.fleet.looked("b1", now, now, PollResult(int(now * 1000), (), ()))
+    effects = decider.fleet.poll_answered(
+        "b1", now, now, PollResult(int(now * 1000), (), ())
+    )
     return [*effects, *decider.decide(now, int(now * 1000))]
 
 
