--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -8,7 +8,7 @@
 from granitetrestle.decisions import StartTask
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import PollResult
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -61,7 +61,7 @@
 
     def start(self, order):
         self.begun.setdefault(order.task.split(".")[0], self.now)
-        taken = OrderAccepted(100)
+        taken = CommandAccepted(100)
         self.decider.start_answered(
             order.incarnation, order.task, order.run, taken, self.now
         )
--- a/features/steps/box_standin_steps.py
+++ b/features/steps/box_standin_steps.py
@@ -9,8 +9,8 @@
 from behave import then
 from behave import when
 
-from granitetrestle.outside import OrderAccepted
-from granitetrestle.outside import OrderRejected
+from granitetrestle.outside import CommandAccepted
+from granitetrestle.outside import CommandRejected
 from granitetrestle_standins import boxserver
 from granitetrestle_standins.boxprofiles import PLAIN_BOX
 from granitetrestle_standins.boxprofiles import BoxProfile
@@ -49,7 +49,9 @@
     for number in range(count):
         task = f"t.0.0.{number}"
         until = until_ms(box, 101.0, 4.0)
-        assert isinstance(box.start(task, 1, SPEC, until, EPOCH, 101.0), OrderAccepted)
+        assert isinstance(
+            box.start(task, 1, SPEC, until, EPOCH, 101.0), CommandAccepted
+        )
         box.end(task, "done", 101.0)
 
 
@@ -70,7 +72,7 @@
 def runs_task(context, task, run, at, lease):
     context.box = box = new_box(at)
     outcome = box.start(task, run, SPEC, until_ms(box, at, lease), EPOCH, at)
-    assert isinstance(outcome, OrderAccepted), outcome
+    assert isinstance(outcome, CommandAccepted), outcome
 
 
 @when("at {at:g} a start that is {reason} comes with a lease of {lease:g} s")
@@ -85,7 +87,7 @@
 
 @then('it is refused as "{reason}"')
 def refused_as(context, reason):
-    assert isinstance(context.outcome, OrderRejected)
+    assert isinstance(context.outcome, CommandRejected)
     assert context.outcome.reason == reason, context.outcome
 
 
@@ -150,7 +152,7 @@
 @when("at {at:g} that run is stopped")
 def run_stopped(context, at):
     context.at = at
-    assert isinstance(context.box.stop(TASK, 2, EPOCH, at), OrderAccepted)
+    assert isinstance(context.box.stop(TASK, 2, EPOCH, at), CommandAccepted)
 
 
 @then('it is still running right after, and has ended as "{how}" within {longest:g} s')
@@ -170,7 +172,7 @@
     """Return why a start is refused, or ``None``."""
     until = until_ms(box, now, 4.0)
     outcome = box.start("t.0.0.9", 1, spec, until, EPOCH, now)
-    return outcome.reason if isinstance(outcome, OrderRejected) else None
+    return outcome.reason if isinstance(outcome, CommandRejected) else None
 
 
 @then("no run up to {run:d} of {task} is taken any more")
@@ -179,7 +181,7 @@
     for number in range(1, run + 2):
         until = until_ms(box, now, 4.0)
         outcome = box.start(task, number, SMALL, until, EPOCH, now)
-        assert isinstance(outcome, OrderAccepted) == (number > run), outcome
+        assert isinstance(outcome, CommandAccepted) == (number > run), outcome
 
 
 class Served:
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -16,15 +16,15 @@
 from granitetrestle.calls import Caller
 from granitetrestle.calls import CallFailure
 from granitetrestle.calls import Reply
+from granitetrestle.commandwindow import CommandWindow
+from granitetrestle.commandwindow import UnlimitedWindow
 from granitetrestle.decisions import StartTask
 from granitetrestle.fleet import PollPlan
 from granitetrestle.looplag import LoopLag
 from granitetrestle.nodemetrics import NodeMetrics
-from granitetrestle.orderwindow import OpenWindow
-from granitetrestle.orderwindow import OrderWindow
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import BoxNoAnswer
-from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import PollResult
 from granitetrestle.peerlink import PeerLink
 from granitetrestle.pollbudget import PollBudget
@@ -63,7 +63,7 @@
         return PollResult(1, (), ())
 
     async def start(self, *arguments):
-        return OrderAccepted(1)
+        return CommandAccepted(1)
 
 
 def entry(incarnation):
@@ -117,7 +117,7 @@
         lambda decisions: None,
         CONFIRMED,
         NodeMetrics(),
-        OrderWindow(),
+        CommandWindow(),
         LoopLag(),
         budget,
     )
@@ -157,7 +157,7 @@
 @when("it looks at them for {seconds:d} seconds, all at once")
 def looks_at_once(context, seconds):
     budget = PollBudget(1_000_000)
-    budget._opening = OpenWindow()
+    budget._opening = UnlimitedWindow()
     look_at_all(context, seconds, budget)
 
 
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -6,26 +6,26 @@
 from behave import when
 from msgspec.structs import replace
 
+from granitetrestle.commandwindow import FILLS
+from granitetrestle.commandwindow import FIRST
+from granitetrestle.commandwindow import SHORT
+from granitetrestle.commandwindow import CommandWindow
 from granitetrestle.decider import Decider
 from granitetrestle.decisions import AskAdvice
 from granitetrestle.decisions import Noted
 from granitetrestle.decisions import StopTask
-from granitetrestle.errors import MalformedOrder
+from granitetrestle.errors import MalformedDirective
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.orderwindow import FILLS
-from granitetrestle.orderwindow import FIRST
-from granitetrestle.orderwindow import SHORT
-from granitetrestle.orderwindow import OrderWindow
 from granitetrestle.outside import Advice
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import BoxNoAnswer
+from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import Config
-from granitetrestle.outside import HallOrder
-from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import HallDirective
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import Record
-from granitetrestle.platform.front import decode_order
+from granitetrestle.platform.front import decode_directive
 from granitetrestle.shardstate import DeciderTerms
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -201,7 +201,7 @@
 
 @given("an order window that lets nothing go")
 def closed_window(context):
-    class Closed(OrderWindow):
+    class Closed(CommandWindow):
         @property
         def size(self):
             return 0
@@ -293,7 +293,7 @@
     advice = Advice({incarnation: "ticket"}, 60.0)
     question = next(d for d in asked if isinstance(d, AskAdvice))
     decider.advised(question, advice, world.now)
-    decider.evacuation.ordered([HallOrder("h1", True)], world.now)
+    decider.evacuation.ordered([HallDirective("h1", True)], world.now)
     context.asked = decider.decide(world.now + 2.0, 0)
 
 
@@ -373,7 +373,7 @@
 
 @when("h1 is evacuated there")
 def evacuated_there(context):
-    orders = [HallOrder("h1", True)]
+    orders = [HallDirective("h1", True)]
     context.halls.decider.evacuation.ordered(orders, context.halls.now)
 
 
@@ -409,8 +409,8 @@
 @then("the operator's record {key} with {value} is refused, naming its key")
 def refused(context, key, value):
     try:
-        decode_order(Record(key, value.encode()))
-    except MalformedOrder as error:
+        decode_directive(Record(key, value.encode()))
+    except MalformedDirective as error:
         assert error.key == key
         return
     raise AssertionError("was taken")
@@ -521,7 +521,7 @@
         sent = halls.now
         for decision in context.given:
             if isinstance(decision, StopTask):
-                answered = OrderAccepted(1)
+                answered = CommandAccepted(1)
                 decider.stop_answered(
                     context.at, task.name, decision.run, answered, sent + 0.02
                 )
--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -21,10 +21,10 @@
 from granitetrestle.outside import Advice
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import BoxNoAnswer
+from granitetrestle.outside import CommandAccepted
+from granitetrestle.outside import CommandRejected
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import OrderAccepted
-from granitetrestle.outside import OrderRejected
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
@@ -117,7 +117,7 @@
             self.both(lambda decider: decider.advised(order, advice, self.now))
         elif isinstance(order, StopTask):
             self.end(order.incarnation, order.task, order.run, "stopped")
-            accepted = OrderAccepted(int(self.now * 1000))
+            accepted = CommandAccepted(int(self.now * 1000))
             self.both(
                 lambda d: d.stop_answered(
                     order.incarnation, order.task, order.run, accepted, self.now
@@ -128,10 +128,10 @@
 
     def start(self, order):
         self.starts += 1
-        outcome = OrderAccepted(int(self.now * 1000))
+        outcome = CommandAccepted(int(self.now * 1000))
         draw = self.random.random()
         if draw < 0.05:
-            outcome = OrderRejected(self.random.choice(("room", "unhealthy")))
+            outcome = CommandRejected(self.random.choice(("room", "unhealthy")))
         else:
             self.running[order.incarnation][order.task] = order.run
         self.both(
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -12,7 +12,7 @@
 from granitetrestle.mechanisms import Mechanism
 from granitetrestle.outside import BoxNoAnswer
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import HallOrder
+from granitetrestle.outside import HallDirective
 from granitetrestle.shardstate import DeciderTerms
 from granitetrestle.workflows import Step
 
@@ -37,7 +37,7 @@
 
 
 def wait_for_hall(desk):
-    desk.take(desk.decider.evacuation.ordered([HallOrder("h", True)], desk.now))
+    desk.take(desk.decider.evacuation.ordered([HallDirective("h", True)], desk.now))
     desk.submit("job", SERVING)
 
 
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -18,9 +18,9 @@
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.mechanisms import Mechanism
 from granitetrestle.outside import BoxEntry
+from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import OrderAccepted
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
@@ -140,7 +140,7 @@
                         decision.incarnation,
                         decision.task,
                         decision.run,
-                        OrderAccepted(1),
+                        CommandAccepted(1),
                         self.now,
                     )
                 )
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -16,7 +16,7 @@
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import BoxReplaced
-from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import RunningTask
 from granitetrestle.platform.advice import PlatformAdvisor
@@ -72,7 +72,9 @@
     job = Submission(JOB, "q", "pool", "s", (STEP,))
     decider.called("r", SubmitJob(job), 0.2)
     (start,) = [d for d in decided(decider, 0.2) if isinstance(d, StartTask)]
-    decider.start_answered(incarnation, start.task, start.run, OrderAccepted(200), 0.3)
+    decider.start_answered(
+        incarnation, start.task, start.run, CommandAccepted(200), 0.3
+    )
     context.left = decider.take_writes()
     context.decider = decider
 
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -26,7 +26,7 @@
 from granitetrestle.outside import Queue
 from granitetrestle.outside import Record
 from granitetrestle.outside import StoreUnavailable
-from granitetrestle.outside import TaskOrder
+from granitetrestle.outside import TaskCommand
 from granitetrestle.outside import Writer
 from granitetrestle.platform.boxes import PlatformBoxes
 from granitetrestle.platform.server import FrontResponder
@@ -204,7 +204,7 @@
             boxes = PlatformBoxes(Caller())
             address = f"127.0.0.1:{port}"
             # The look goes over the connection that an order has opened.
-            await boxes.stop(TaskOrder("life", address, "task", 1), 1)
+            await boxes.stop(TaskCommand("life", address, "task", 1), 1)
             context.poll = await boxes.poll("life", address, 1, 0, None, 0)
             tasks.cancel_scope.cancel()
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -8,17 +8,17 @@
 from behave import when
 
 from granitetrestle.boxlife import BoxKeeper
+from granitetrestle.commandwindow import CommandWindow
+from granitetrestle.commandwindow import UnlimitedWindow
 from granitetrestle.decisions import StartTask
 from granitetrestle.fleet import PollPlan
 from granitetrestle.jobcalls import CancelJob
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.looplag import LoopLag
 from granitetrestle.nodemetrics import NodeMetrics
-from granitetrestle.orderwindow import OpenWindow
-from granitetrestle.orderwindow import OrderWindow
 from granitetrestle.outside import BoxNoAnswer
-from granitetrestle.outside import OrderAccepted
-from granitetrestle.outside import OrderNotSent
+from granitetrestle.outside import CommandAccepted
+from granitetrestle.outside import CommandNotSent
 from granitetrestle.pollbudget import PollBudget
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -48,7 +48,7 @@
             return BoxNoAnswer("no answer in time")
         await anyio.sleep(wait)
         self.started.setdefault(order.task, time.monotonic())
-        return OrderAccepted(1)
+        return CommandAccepted(1)
 
 
 class Decider:
@@ -123,12 +123,12 @@
 def windowed(context, count, after, urgent):
     context.urgent = urgent
     context.count = count
-    burst(context, OrderWindow(), count, after, urgent)
+    burst(context, CommandWindow(), count, after, urgent)
 
 
 @when("the same comes to a decider whose order window is switched off")
 def open_window(context):
-    burst(context, OpenWindow(), 240, 0.3, 6)
+    burst(context, UnlimitedWindow(), 240, 0.3, 6)
 
 
 @then("at most {most:g} in 100 calls were given up, and each start was carried out")
@@ -154,7 +154,7 @@
 @given("an order window through which {count:d} orders went, answered in {ms:g} ms")
 def warm_window(context, count, ms):
     context.now = 10.0
-    context.window = OrderWindow(lambda: context.now)
+    context.window = CommandWindow(lambda: context.now)
     for _ in range(count):
         context.now += ms / 1000.0
         context.window.answered(ms / 1000.0)
@@ -232,7 +232,7 @@
 def not_wanted(context):
     decider, order, now = context.load.decider, context.order, context.load.now
     assert not decider.start_wanted(order, context.load.now)
-    withdrawn = OrderNotSent("withdrawn")
+    withdrawn = CommandNotSent("withdrawn")
     decider.start_answered(order.incarnation, order.task, order.run, withdrawn, now)
     (again,) = placed(context)
     assert again.task == order.task and again.incarnation != order.incarnation
@@ -305,7 +305,7 @@
             lambda decisions: None,
             CONFIRMED,
             NodeMetrics(),
-            OrderWindow(),
+            CommandWindow(),
             measured,
             PollBudget(3900),
         )
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -21,7 +21,7 @@
 from granitetrestle.outside import Newest
 from granitetrestle.outside import Record
 from granitetrestle.platform.boxes import decode_entry
-from granitetrestle.platform.front import decode_order
+from granitetrestle.platform.front import decode_directive
 from granitetrestle.platform.store import CONFIG_TOPIC
 from granitetrestle.platform.store import LIFE_TOPIC
 from granitetrestle.platform.store import PlatformStore
@@ -204,7 +204,7 @@
     store = PlatformStore("store", context.caller)
     boxes = SilentBoxes()
     sources = Sources(
-        store, boxes, CONFIG_TOPIC, LIFE_TOPIC, decode_order, decode_entry
+        store, boxes, CONFIG_TOPIC, LIFE_TOPIC, decode_directive, decode_entry
     )
 
     async def run():
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -7,15 +7,15 @@
 
 from granitetrestle.boxes import BoxView
 from granitetrestle.boxlife import BoxKeeper
+from granitetrestle.commandwindow import CommandWindow
 from granitetrestle.decider import Decider
 from granitetrestle.decisions import StopTask
 from granitetrestle.interference import Interference
 from granitetrestle.looplag import LoopLag
 from granitetrestle.nodemetrics import NodeMetrics
-from granitetrestle.orderwindow import OrderWindow
 from granitetrestle.outside import BoxCalls
 from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import RunningTask
 from granitetrestle.overload import bearable_pace
 from granitetrestle.overload import box_load
@@ -195,7 +195,7 @@
         await anyio.sleep(0.01)
         self.now -= 1
         self.stopped.append(order.task)
-        return OrderAccepted(1)
+        return CommandAccepted(1)
 
 
 @given("a box that counts the orders it is given at once")
@@ -216,7 +216,7 @@
             lambda decisions: None,
             CONFIRMED,
             NodeMetrics(),
-            OrderWindow(),
+            CommandWindow(),
             LoopLag(),
             PollBudget(3900),
         )
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -15,10 +15,10 @@
 from granitetrestle.errors import MalformedEntry
 from granitetrestle.outside import BoxNoAnswer
 from granitetrestle.outside import BoxReplaced
-from granitetrestle.outside import OrderAccepted
+from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Record
-from granitetrestle.outside import TaskOrder
+from granitetrestle.outside import TaskCommand
 from granitetrestle.platform.boxes import PlatformBoxes
 from granitetrestle.platform.boxes import decode_entry
 from granitetrestle_standins.nativecluster import NativeCluster
@@ -125,16 +125,16 @@
         return await self.late_start(entry, task, lasts_ms, clock)
 
     async def late_start(self, entry, task, lasts_ms, clock):
-        order = TaskOrder(entry.incarnation, entry.address, task, 1)
+        order = TaskCommand(entry.incarnation, entry.address, task, 1)
         until = clock + LEASE_MS
         return await self._boxes.start(order, EPOCH, str(lasts_ms), until, "", "")
 
     async def stop(self, entry, task):
-        order = TaskOrder(entry.incarnation, entry.address, task, 1)
+        order = TaskCommand(entry.incarnation, entry.address, task, 1)
         return await self._boxes.stop(order, EPOCH)
 
     async def pace(self, entry, task):
-        order = TaskOrder(entry.incarnation, entry.address, task, 1)
+        order = TaskCommand(entry.incarnation, entry.address, task, 1)
         return await self._boxes.pace(order, EPOCH, 10)
 
 
@@ -173,7 +173,7 @@
     async def next_one(meant):
         await meant.start(context.after, named(2), 60_000)
         started = await meant.start(context.after, named(3), 10)
-        assert isinstance(started, OrderAccepted), started
+        assert isinstance(started, CommandAccepted), started
         context.shown = await ended(meant, context.after, 1)
 
     context.script.append(next_one)
@@ -261,7 +261,7 @@
 
 
 async def start(boxes, context):
-    order = TaskOrder(context.incarnation, context.told.address, named(1), 1)
+    order = TaskCommand(context.incarnation, context.told.address, named(1), 1)
     return await boxes.start(order, EPOCH, "10", 4000, "", "")
 
 
@@ -283,7 +283,7 @@
 @then("all are {come_to}, and the start has {reached} it")
 def come_to(context, come_to, reached):
     kinds = {
-        "carried out": (PollResult, OrderAccepted, PollResult),
+        "carried out": (PollResult, CommandAccepted, PollResult),
         "answered by another life": (BoxReplaced,) * 3,
         "not answered": (BoxNoAnswer,) * 3,
     }
@@ -334,7 +334,7 @@
     told = context.told
 
     async def script(boxes):
-        assert isinstance(await start(boxes, context), OrderAccepted)
+        assert isinstance(await start(boxes, context), CommandAccepted)
         told.born = {"born": 6}
         context.looked = await poll(boxes, context, 3, 4000)
         context.started = await start(boxes, context)
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -22,9 +22,9 @@
 from granitetrestle.mechanisms import Mechanism
 from granitetrestle.mechanisms import parse_switched_off
 from granitetrestle.outside import BoxEntry
+from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import OrderAccepted
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
@@ -99,7 +99,7 @@
                     decision.incarnation,
                     decision.task,
                     decision.run,
-                    OrderAccepted(1),
+                    CommandAccepted(1),
                     self.now,
                 )
             elif isinstance(decision, Noted):
--- a/features/steps/unwell_steps.py
+++ b/features/steps/unwell_steps.py
@@ -10,8 +10,8 @@
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import BoxNoAnswer
-from granitetrestle.outside import OrderAccepted
-from granitetrestle.outside import OrderRejected
+from granitetrestle.outside import CommandAccepted
+from granitetrestle.outside import CommandRejected
 from granitetrestle.outside import PollResult
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -62,7 +62,7 @@
 
 @when("the box refuses the stop as unwell, and a look shows nothing of the task")
 def refuses(context):
-    start, refused = context.start, OrderRejected("unhealthy")
+    start, refused = context.start, CommandRejected("unhealthy")
     context.decider.stop_answered("b1", start.task, start.run, refused, 0.7)
     context.decisions = [*looked(context, 0.8), *looked(context, 1.5)]
 
@@ -76,7 +76,7 @@
 
 @then("once the box has taken the stop, it is started elsewhere")
 def then_started(context):
-    start, taken = context.start, OrderAccepted(1600)
+    start, taken = context.start, CommandAccepted(1600)
     context.decider.stop_answered("b1", start.task, start.run, taken, 1.6)
     starts = [d for d in looked(context, 1.8) if isinstance(d, StartTask)]
     assert [d.run for d in starts] == [start.run + 1], starts
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -13,9 +13,9 @@
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.mechanisms import Mechanism
 from granitetrestle.outside import BoxEntry
+from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import OrderAccepted
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
@@ -132,7 +132,7 @@
         heapq.heappush(self.ends, (ends, order.incarnation, order.task, order.run))
         self.take(
             self.decider.start_answered(
-                order.incarnation, order.task, order.run, OrderAccepted(1), self.now
+                order.incarnation, order.task, order.run, CommandAccepted(1), self.now
             )
         )
 
--- a/src/granitetrestle/boxlife.py
+++ b/src/granitetrestle/boxlife.py
@@ -6,6 +6,10 @@
 
 import anyio
 
+from .commandwindow import FILLS
+from .commandwindow import FIRST
+from .commandwindow import SHORT
+from .commandwindow import CommandWindow
 from .decider import Decider
 from .decisions import Decision
 from .decisions import PaceTask
@@ -13,18 +17,14 @@
 from .decisions import StopTask
 from .looplag import LoopLag
 from .nodemetrics import NodeMetrics
-from .orderwindow import FILLS
-from .orderwindow import FIRST
-from .orderwindow import SHORT
-from .orderwindow import OrderWindow
 from .outside import BoxCalls
 from .outside import BoxNoAnswer
 from .outside import BoxReplaced
-from .outside import OrderNotSent
-from .outside import OrderOutcome
-from .outside import OrderRejected
+from .outside import CommandNotSent
+from .outside import CommandOutcome
+from .outside import CommandRejected
 from .outside import PollResult
-from .outside import TaskOrder
+from .outside import TaskCommand
 from .pollbudget import PollBudget
 from .pollbudget import PollParameters
 from .right import Right
@@ -42,7 +42,7 @@
 WAY_FACTOR: t.Final = 6.0
 MOST_WAY_S: t.Final = 0.8
 # An order that was not answered is given again, then counts as in doubt.
-ORDER_TRIES: t.Final = 3
+COMMAND_TRIES: t.Final = 3
 
 
 class BoxKeeper:
@@ -65,7 +65,7 @@
         apply: t.Callable[[list[Decision]], None],
         right: Right,
         metrics: NodeMetrics,
-        window: OrderWindow,
+        window: CommandWindow,
         lag: LoopLag,
         budget: PollBudget,
     ) -> None:
@@ -202,15 +202,15 @@
     async def _start(self, order: StartTask) -> None:
         self._work_came.set()
 
-        async def send() -> OrderOutcome:
+        async def send() -> CommandOutcome:
             box = self._decider.state.boxes.get(self._incarnation)
             until = None
             if not self._decider.start_wanted(order, time.monotonic()):
-                return OrderNotSent("withdrawn")
+                return CommandNotSent("withdrawn")
             if box is not None:
                 until = self._decider.fleet.lease_until(box, time.monotonic())
             if until is None:
-                return OrderNotSent("no lease can be given")
+                return CommandNotSent("no lease can be given")
             self._metrics.observe("start_right_age", self._right.age_s())
             return await self._boxes.start(
                 self._order(order),
@@ -232,7 +232,7 @@
         )
 
     async def _stop(self, order: StopTask) -> None:
-        async def send() -> OrderOutcome:
+        async def send() -> CommandOutcome:
             return await self._boxes.stop(self._order(order), self._epoch)
 
         outcome = await self._try(send, FIRST)
@@ -243,7 +243,7 @@
         )
 
     async def _pace(self, order: PaceTask) -> None:
-        async def send() -> OrderOutcome:
+        async def send() -> CommandOutcome:
             return await self._boxes.pace(
                 self._order(order), self._epoch, order.percent
             )
@@ -251,15 +251,15 @@
         if isinstance(await self._send(send, FIRST), BoxNoAnswer):
             self._decider.pace_unanswered(order)
 
-    def _order(self, order: StartTask | StopTask | PaceTask) -> TaskOrder:
-        return TaskOrder(self._incarnation, self._address, order.task, order.run)
+    def _order(self, order: StartTask | StopTask | PaceTask) -> TaskCommand:
+        return TaskCommand(self._incarnation, self._address, order.task, order.run)
 
     async def _try(
-        self, send: t.Callable[[], t.Awaitable[OrderOutcome]], kind: int
-    ) -> OrderOutcome:
+        self, send: t.Callable[[], t.Awaitable[CommandOutcome]], kind: int
+    ) -> CommandOutcome:
         doubted = sent = False
-        outcome: OrderOutcome = BoxNoAnswer("not sent")
-        for _ in range(ORDER_TRIES):
+        outcome: CommandOutcome = BoxNoAnswer("not sent")
+        for _ in range(COMMAND_TRIES):
             outcome = await self._send(send, kind)
             if not isinstance(outcome, BoxNoAnswer):
                 break
@@ -272,8 +272,8 @@
         return self._doubted(outcome) if doubted else outcome
 
     async def _send(
-        self, send: t.Callable[[], t.Awaitable[OrderOutcome]], kind: int
-    ) -> OrderOutcome:
+        self, send: t.Callable[[], t.Awaitable[CommandOutcome]], kind: int
+    ) -> CommandOutcome:
         # A stop ends a run for good whoever decides; a start begins one.
         rests_on_right = kind != FIRST
         while True:
@@ -284,15 +284,15 @@
                     # Others have their turn meanwhile: without this a pace waited too.
                     continue
                 outcome = await send()
-                if not isinstance(outcome, OrderNotSent):
+                if not isinstance(outcome, CommandNotSent):
                     turn.ended(not isinstance(outcome, BoxNoAnswer), time.monotonic())
                 return outcome
 
     @staticmethod
-    def _doubted(outcome: OrderOutcome) -> OrderOutcome:
+    def _doubted(outcome: CommandOutcome) -> CommandOutcome:
         """A refusal does not prove that an earlier try will not be carried out."""
-        if isinstance(outcome, OrderNotSent):
+        if isinstance(outcome, CommandNotSent):
             return BoxNoAnswer(f"{outcome.reason} after a try without answer")
-        if isinstance(outcome, OrderRejected) and outcome.reason != "fence":
+        if isinstance(outcome, CommandRejected) and outcome.reason != "fence":
             return BoxNoAnswer(f"refused after a try without answer: {outcome.reason}")
         return outcome
--- a/src/granitetrestle/orderwindow.py
+++ b/src/granitetrestle/commandwindow.py
@@ -14,7 +14,7 @@
 
 from .looplag import LoopLag
 
-__all__ = ["FILLS", "FIRST", "SHORT", "OpenWindow", "OrderWindow"]
+__all__ = ["FILLS", "FIRST", "SHORT", "UnlimitedWindow", "CommandWindow"]
 
 # Classes of orders: what frees room or protects others goes first, what fills last.
 FIRST: t.Final = 0
@@ -58,7 +58,7 @@
     granted: anyio.Event
 
 
-class OrderWindow:
+class CommandWindow:
     """Lets orders go as fast as they are answered.
 
     :param clock: seconds on a steady clock.
@@ -192,7 +192,7 @@
             self._size = max(self._at_least, self._size * SHRINK)
 
 
-class OpenWindow(OrderWindow):
+class UnlimitedWindow(CommandWindow):
     """Baseline: all orders go at once."""
 
     @property
@@ -204,7 +204,7 @@
 class Turn:
     """One order on its way."""
 
-    def __init__(self, window: OrderWindow, began: float) -> None:
+    def __init__(self, window: CommandWindow, began: float) -> None:
         self._window = window
         self._began = began
 
--- a/src/granitetrestle/decider.py
+++ b/src/granitetrestle/decider.py
@@ -32,11 +32,11 @@
 from .outside import AdviceUnavailable
 from .outside import BoxNoAnswer
 from .outside import BoxReplaced
+from .outside import CommandAccepted
+from .outside import CommandNotSent
+from .outside import CommandOutcome
+from .outside import CommandRejected
 from .outside import Config
-from .outside import OrderAccepted
-from .outside import OrderNotSent
-from .outside import OrderOutcome
-from .outside import OrderRejected
 from .outside import Record
 from .packing import Packer
 from .progress import Progress
@@ -258,7 +258,7 @@
         return wanted
 
     def start_answered(
-        self, incarnation: str, name: str, run: int, outcome: OrderOutcome, now: float
+        self, incarnation: str, name: str, run: int, outcome: CommandOutcome, now: float
     ) -> list[Decision]:
         """Apply what came of a start; ``BoxNoAnswer`` leaves it in doubt."""
         task = self._state.find_task(name)
@@ -269,7 +269,7 @@
             return self._fleet.box_over(incarnation, "another life answered", now)
         if task is None or not current:
             return []
-        if isinstance(outcome, OrderAccepted):
+        if isinstance(outcome, CommandAccepted):
             if task.state == STARTING:
                 task.runs(now)
                 box = self._state.boxes.get(incarnation)
@@ -277,12 +277,12 @@
                     # What it disturbs should not wait for the next look.
                     return self._fleet.repace(box, now)
             return []
-        if isinstance(outcome, OrderRejected):
+        if isinstance(outcome, CommandRejected):
             return self._start_rejected(incarnation, task, outcome, now)
         if task.state != STARTING:
             return []
         inputs = {"run": run, "box": incarnation, "reason": outcome.reason}
-        if isinstance(outcome, OrderNotSent):
+        if isinstance(outcome, CommandNotSent):
             self._progress.requeue(task, now)
             noted = Noted("start_withdrawn", name, inputs)
             return [noted, *self._stop_members(task, now)]
@@ -303,7 +303,7 @@
         return effects
 
     def _start_rejected(
-        self, incarnation: str, task: Task, outcome: OrderRejected, now: float
+        self, incarnation: str, task: Task, outcome: CommandRejected, now: float
     ) -> list[Decision]:
         if outcome.reason == "fence":
             return [StepDown(incarnation)]
@@ -319,19 +319,19 @@
         return [Noted("start_rejected", task.name, inputs)]
 
     def stop_answered(
-        self, incarnation: str, name: str, run: int, outcome: OrderOutcome, now: float
+        self, incarnation: str, name: str, run: int, outcome: CommandOutcome, now: float
     ) -> list[Decision]:
         """Apply what came of a stop."""
         if isinstance(outcome, BoxReplaced):
             return self._fleet.box_over(incarnation, "another life answered", now)
-        if isinstance(outcome, OrderRejected) and outcome.reason == "fence":
+        if isinstance(outcome, CommandRejected) and outcome.reason == "fence":
             return [StepDown(incarnation)]
         task = self._state.find_task(name)
         current = task is not None and task.run == run and task.box == incarnation
         # A box that says it is unwell has done nothing: an order to start that got no answer
         # may be carried out still, after another run is done.
-        refused = isinstance(outcome, OrderRejected) and outcome.reason != "unhealthy"
-        answered = isinstance(outcome, OrderAccepted) or refused
+        refused = isinstance(outcome, CommandRejected) and outcome.reason != "unhealthy"
+        answered = isinstance(outcome, CommandAccepted) or refused
         if task is not None and current and answered and task.state == STOPPING:
             task.confirmed_at = now
         return []
--- a/src/granitetrestle/errors.py
+++ b/src/granitetrestle/errors.py
@@ -16,7 +16,7 @@
     "LogGapError",
     "LogUnavailable",
     "MalformedEntry",
-    "MalformedOrder",
+    "MalformedDirective",
     "NotFound",
     "NotRunError",
     "OutcomeUnknown",
@@ -180,7 +180,7 @@
         self.key = key
 
 
-class MalformedOrder(GranitetrestleError):
+class MalformedDirective(GranitetrestleError):
     """What operators ask under a key can't be read; it changes nothing.
 
     :param key: the order's key in the store.
--- a/src/granitetrestle/evacuation.py
+++ b/src/granitetrestle/evacuation.py
@@ -10,7 +10,7 @@
 from .decisions import Decision
 from .decisions import Noted
 from .decisions import WithdrawStarts
-from .outside import HallOrder
+from .outside import HallDirective
 from .shardstate import ShardState
 
 __all__ = ["Evacuation"]
@@ -53,7 +53,7 @@
         inputs = {"unheard_s": round(now - self._heard_at, 2)}
         return [Noted("starts_held", "operators", inputs)]
 
-    def ordered(self, orders: t.Iterable[HallOrder], now: float) -> list[Decision]:
+    def ordered(self, orders: t.Iterable[HallDirective], now: float) -> list[Decision]:
         """Put orders in force, in the order given."""
         effects: list[Decision] = []
         for order in orders:
@@ -61,7 +61,7 @@
         return effects
 
     def all_ordered(
-        self, orders: t.Iterable[HallOrder], unread: t.Collection[str], now: float
+        self, orders: t.Iterable[HallDirective], unread: t.Collection[str], now: float
     ) -> list[Decision]:
         """Put all orders there are in force: halls without one are in use.
 
@@ -70,10 +70,10 @@
         orders = list(orders)
         evacuated = {order.hall for order in orders if order.evacuated}
         gone = self._state.evacuated_halls - evacuated - set(unread)
-        restored = [HallOrder(hall, False) for hall in sorted(gone)]
+        restored = [HallDirective(hall, False) for hall in sorted(gone)]
         return self.ordered([*restored, *orders], now)
 
-    def _put_in_force(self, order: HallOrder, now: float) -> list[Decision]:
+    def _put_in_force(self, order: HallDirective, now: float) -> list[Decision]:
         halls = self._state.evacuated_halls
         if order.evacuated == (order.hall in halls):
             return []
--- a/src/granitetrestle/feeds.py
+++ b/src/granitetrestle/feeds.py
@@ -10,15 +10,15 @@
 from . import steadyclock
 from .decider import Decider
 from .decisions import Decision
+from .errors import MalformedDirective
 from .errors import MalformedEntry
-from .errors import MalformedOrder
 from .newestread import read_newest
 from .nodelog import NodeLog
 from .outside import Advisor
 from .outside import BoxCalls
 from .outside import BoxEntry
 from .outside import Config
-from .outside import HallOrder
+from .outside import HallDirective
 from .outside import Newest
 from .outside import NewestUnavailable
 from .outside import Record
@@ -46,14 +46,14 @@
     """Where a session reads from, and how records there are decoded.
 
     :param decode_operator: returns what operators ask under a key, or ``None`` if the
-        record is about something else; raises ``MalformedOrder`` for what can't be read.
+        record is about something else; raises ``MalformedDirective`` for what can't be read.
     """
 
     store: Store
     boxes: BoxCalls
     config_topic: str
     box_topic: str
-    decode_operator: t.Callable[[Record], Config | HallOrder | None]
+    decode_operator: t.Callable[[Record], Config | HallDirective | None]
     decode_box: t.Callable[[Record], BoxEntry | None]
     advisor: Advisor | None = None
 
@@ -153,15 +153,17 @@
         self._heard_at = steadyclock.now()
         evacuation.heard(now)
 
-    def _decode(self, records: t.Iterable[Record]) -> tuple[list[HallOrder], set[str]]:
+    def _decode(
+        self, records: t.Iterable[Record]
+    ) -> tuple[list[HallDirective], set[str]]:
         """Put configurations in force; returns the orders about halls, and the halls
         about which an order can't be read."""
-        halls: list[HallOrder] = []
+        halls: list[HallDirective] = []
         unread: set[str] = set()
         for record in records:
             try:
                 order = self._sources.decode_operator(record)
-            except MalformedOrder as error:
+            except MalformedDirective as error:
                 self._log.event("order_malformed", key=error.key, error=error.message)
                 unread.add(error.hall)
                 continue
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -25,7 +25,7 @@
 from .mechanisms import Mechanism
 from .outside import BoxEntry
 from .outside import BoxReplaced
-from .outside import OrderRejected
+from .outside import CommandRejected
 from .outside import PollOutcome
 from .outside import PollResult
 from .pacing import observe
@@ -284,7 +284,7 @@
             return self.box_over(incarnation, "another life answered", now)
         if isinstance(outcome, PollResult):
             return self._seen(box, outcome, sent, now)
-        if isinstance(outcome, OrderRejected):
+        if isinstance(outcome, CommandRejected):
             return self._rejected(box, outcome, now)
         if box.silent_since is None:
             # Without an answer in time it may have been lost since the last one.
@@ -292,7 +292,7 @@
         return self._silent(box, outcome.reason, now)
 
     def _rejected(
-        self, box: BoxView, outcome: OrderRejected, now: float
+        self, box: BoxView, outcome: CommandRejected, now: float
     ) -> list[Decision]:
         if outcome.reason == "fence":
             return [StepDown(box.incarnation)]
--- a/src/granitetrestle/mechanisms.py
+++ b/src/granitetrestle/mechanisms.py
@@ -20,7 +20,7 @@
     # Boxes are looked at when they changed, once for a step - all of them for each task.
     INDEX = "index"
     # Orders wait their turn where answers take long - all are sent at once.
-    ORDER_WINDOW = "order_window"
+    COMMAND_WINDOW = "order_window"
     # What disturbs serving tasks is slowed - everything runs at full pace.
     PACING = "pacing"
     # Slowed tasks are moved to better boxes - they stay.
--- a/src/granitetrestle/outside.py
+++ b/src/granitetrestle/outside.py
@@ -18,17 +18,17 @@
     "Config",
     "EndedRun",
     "Fenced",
-    "HallOrder",
+    "HallDirective",
     "PollResult",
     "PollOutcome",
     "Newest",
     "NumberTaken",
     "NewestPage",
     "NewestUnavailable",
-    "OrderAccepted",
-    "OrderNotSent",
-    "OrderOutcome",
-    "OrderRejected",
+    "CommandAccepted",
+    "CommandNotSent",
+    "CommandOutcome",
+    "CommandRejected",
     "Queue",
     "Record",
     "RecordsGone",
@@ -36,7 +36,7 @@
     "RunningTask",
     "Store",
     "StoreUnavailable",
-    "TaskOrder",
+    "TaskCommand",
     "Writer",
 ]
 
@@ -223,7 +223,7 @@
     max_body_bytes: int
 
 
-class HallOrder(t.NamedTuple):
+class HallDirective(t.NamedTuple):
     """What operators ask of a data hall.
 
     :param evacuated: nothing further is to be sent to its boxes; else it is in use.
@@ -233,7 +233,7 @@
     evacuated: bool
 
 
-class TaskOrder(t.NamedTuple):
+class TaskCommand(t.NamedTuple):
     """Names one run of a task on one life of a box."""
 
     incarnation: str
@@ -242,7 +242,7 @@
     run: int
 
 
-class OrderAccepted(t.NamedTuple):
+class CommandAccepted(t.NamedTuple):
     """The box did it, or had done so before.
 
     :param clock_ms: the box's steady clock.
@@ -251,7 +251,7 @@
     clock_ms: int
 
 
-class OrderRejected(t.NamedTuple):
+class CommandRejected(t.NamedTuple):
     """The box did nothing.
 
     :param reason: ``fence`` a newer epoch gave orders there; ``old`` a later run was
@@ -263,7 +263,7 @@
     clock_ms: int = 0
 
 
-class OrderNotSent(t.NamedTuple):
+class CommandNotSent(t.NamedTuple):
     """The order was withdrawn before it was sent: the box knows nothing of it."""
 
     reason: str
@@ -290,8 +290,8 @@
     timed_out: bool = False
 
 
-OrderOutcome: t.TypeAlias = (
-    OrderAccepted | OrderRejected | OrderNotSent | BoxReplaced | BoxNoAnswer
+CommandOutcome: t.TypeAlias = (
+    CommandAccepted | CommandRejected | CommandNotSent | BoxReplaced | BoxNoAnswer
 )
 
 
@@ -337,7 +337,7 @@
     more_ends: bool = False
 
 
-PollOutcome: t.TypeAlias = PollResult | OrderRejected | BoxReplaced | BoxNoAnswer
+PollOutcome: t.TypeAlias = PollResult | CommandRejected | BoxReplaced | BoxNoAnswer
 
 
 class Advice(t.NamedTuple):
@@ -389,19 +389,21 @@
     @abc.abstractmethod
     async def start(
         self,
-        order: TaskOrder,
+        order: TaskCommand,
         token: int,
         spec: str,
         lease_ends_ms: int,
         checkpoint: str,
         ticket: str,
-    ) -> OrderOutcome:
+    ) -> CommandOutcome:
         """Start a run of a task."""
 
     @abc.abstractmethod
-    async def stop(self, order: TaskOrder, token: int) -> OrderOutcome:
+    async def stop(self, order: TaskCommand, token: int) -> CommandOutcome:
         """Stop a run, or see to it that it never begins."""
 
     @abc.abstractmethod
-    async def pace(self, order: TaskOrder, token: int, percent: int) -> OrderOutcome:
+    async def pace(
+        self, order: TaskCommand, token: int, percent: int
+    ) -> CommandOutcome:
         """Let a run work at a share of its speed."""
--- a/src/granitetrestle/platform/boxes.py
+++ b/src/granitetrestle/platform/boxes.py
@@ -18,20 +18,20 @@
 from ..outside import BoxEntry
 from ..outside import BoxNoAnswer
 from ..outside import BoxReplaced
+from ..outside import CommandAccepted
+from ..outside import CommandOutcome
+from ..outside import CommandRejected
 from ..outside import EndedRun
-from ..outside import OrderAccepted
-from ..outside import OrderOutcome
-from ..outside import OrderRejected
 from ..outside import PollOutcome
 from ..outside import PollResult
 from ..outside import Record
 from ..outside import RunningTask
-from ..outside import TaskOrder
+from ..outside import TaskCommand
 
 __all__ = ["PlatformBoxes", "decode_entry"]
 
 # Boxes answer within some 3 ms; a slow hall link or a busy box of ours takes more.
-ORDER_TIMEOUT_S: t.Final = 0.4
+COMMAND_TIMEOUT_S: t.Final = 0.4
 # Beyond the time that a look may wait.
 POLL_TIMEOUT_S: t.Final = 0.7
 OK: t.Final = 200
@@ -89,7 +89,7 @@
     finished: list[list[t.Any]] = []
 
 
-class _OrderAnswer(msgspec.Struct):
+class _CommandAnswer(msgspec.Struct):
     clock_ms: int = 0
     reason: str = ""
 
@@ -97,7 +97,7 @@
 _entries = msgspec.json.Decoder(_Entry)
 _births = msgspec.json.Decoder(_Birth)
 _polls = msgspec.json.Decoder(_PollAnswer)
-_orders = msgspec.json.Decoder(_OrderAnswer)
+_orders = msgspec.json.Decoder(_CommandAnswer)
 _encode = msgspec.json.Encoder().encode
 
 
@@ -217,13 +217,13 @@
 
     async def start(
         self,
-        order: TaskOrder,
+        order: TaskCommand,
         token: int,
         spec: str,
         lease_ends_ms: int,
         checkpoint: str,
         ticket: str,
-    ) -> OrderOutcome:
+    ) -> CommandOutcome:
         """See :meth:`.outside.BoxCalls.start`."""
         body = _order(order, token)
         body["spec"] = spec
@@ -234,35 +234,37 @@
             body["ticket"] = ticket
         return await self._order("/api/run-start", order, token, body)
 
-    async def stop(self, order: TaskOrder, token: int) -> OrderOutcome:
+    async def stop(self, order: TaskCommand, token: int) -> CommandOutcome:
         """See :meth:`.outside.BoxCalls.stop`."""
         return await self._order("/api/run-stop", order, token, _order(order, token))
 
-    async def pace(self, order: TaskOrder, token: int, percent: int) -> OrderOutcome:
+    async def pace(
+        self, order: TaskCommand, token: int, percent: int
+    ) -> CommandOutcome:
         """See :meth:`.outside.BoxCalls.pace`."""
         body = _order(order, token)
         body["percent"] = percent
         return await self._order("/api/pace", order, token, body)
 
     async def _order(
-        self, path: str, order: TaskOrder, token: int, body: dict[str, t.Any]
-    ) -> OrderOutcome:
+        self, path: str, order: TaskCommand, token: int, body: dict[str, t.Any]
+    ) -> CommandOutcome:
         party = _Incarnation(order.incarnation, token)
         request = Request(path, party.headers, _encode(body))
         reply = await self._caller.call_party(
-            party, order.address, request, ORDER_TIMEOUT_S, limit=ANSWER_BYTES
+            party, order.address, request, COMMAND_TIMEOUT_S, limit=ANSWER_BYTES
         )
         if isinstance(reply, CallFailure):
             return _failed(reply)
         if reply.status != OK:
             return _refused(reply)
         try:
-            return OrderAccepted(_orders.decode(reply.body or b"{}").clock_ms)
+            return CommandAccepted(_orders.decode(reply.body or b"{}").clock_ms)
         except msgspec.DecodeError as error:
             return BoxNoAnswer(f"malformed answer: {error}")
 
 
-def _failed(failure: CallFailure) -> OrderRejected | BoxReplaced | BoxNoAnswer:
+def _failed(failure: CallFailure) -> CommandRejected | BoxReplaced | BoxNoAnswer:
     """Return what a call came to that the life it was for has not answered."""
     may_have_run, met = failure.proof.may_have_run, failure.stranger
     if met is None:
@@ -285,11 +287,11 @@
     return BoxReplaced()
 
 
-def _order(order: TaskOrder, token: int) -> dict[str, t.Any]:
+def _order(order: TaskCommand, token: int) -> dict[str, t.Any]:
     return {"task": order.task, "run": order.run, "fencing_token": token}
 
 
-def _refused(reply: Reply) -> OrderRejected | BoxReplaced | BoxNoAnswer:
+def _refused(reply: Reply) -> CommandRejected | BoxReplaced | BoxNoAnswer:
     """Return how an order was refused. Only these statuses say that nothing was done; an
     order that failed in another way may have been carried out."""
     if reply.status == OTHER_ID:
@@ -299,16 +301,16 @@
     return BoxNoAnswer(f"status {reply.status}")
 
 
-def _rejected(reply: Reply) -> OrderRejected:
+def _rejected(reply: Reply) -> CommandRejected:
     if reply.status == BAD_REQUEST:
-        return OrderRejected("malformed")
+        return CommandRejected("malformed")
     if reply.status != CONFLICT:
-        return OrderRejected("unhealthy")
+        return CommandRejected("unhealthy")
     try:
         answer = _orders.decode(reply.body or b"{}")
     except msgspec.DecodeError:
-        return OrderRejected("malformed")
-    return OrderRejected(answer.reason, answer.clock_ms)
+        return CommandRejected("malformed")
+    return CommandRejected(answer.reason, answer.clock_ms)
 
 
 def _decode_poll(body: bytes) -> PollResult:
--- a/src/granitetrestle/platform/front.py
+++ b/src/granitetrestle/platform/front.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..errors import InvalidInput
-from ..errors import MalformedOrder
+from ..errors import MalformedDirective
 from ..jobcalls import CancelJob
 from ..jobcalls import Cancelled
 from ..jobcalls import CountWaiting
@@ -20,7 +20,7 @@
 from ..jobcalls import SubmitJob
 from ..jobcalls import WaitingCount
 from ..outside import Config
-from ..outside import HallOrder
+from ..outside import HallDirective
 from ..outside import Queue
 from ..outside import Record
 from ..workflows import Step
@@ -33,7 +33,7 @@
     "UnknownQueue",
     "decode_call",
     "decode_config",
-    "decode_order",
+    "decode_directive",
     "encode_outcome",
 ]
 
@@ -106,7 +106,7 @@
     limits: _Limits = msgspec.field(default_factory=_Limits)
 
 
-class _HallOrder(msgspec.Struct):
+class _HallDirective(msgspec.Struct):
     """Stands while a data hall gets nothing further; its fields are not in use yet."""
 
 
@@ -144,10 +144,10 @@
 
 _configs = msgspec.json.Decoder(_Config)
 _jobs = msgspec.json.Decoder(_Job)
-_hall_orders = msgspec.json.Decoder(_HallOrder)
+_hall_directives = msgspec.json.Decoder(_HallDirective)
 
 
-def decode_order(record: Record) -> Config | HallOrder | None:
+def decode_directive(record: Record) -> Config | HallDirective | None:
     """Return what operators ask in a record; ``None`` if it is about something else.
 
     :raises MalformedOrder: if it can't be read.
@@ -157,19 +157,19 @@
         try:
             return decode_config(value)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise MalformedOrder(key, str(error)) from error
+            raise MalformedDirective(key, str(error)) from error
     if not key.startswith(EVACUATE_PREFIX):
         return None
     hall = key.removeprefix(EVACUATE_PREFIX)
     if not hall:
-        raise MalformedOrder(key, "names no data hall")
+        raise MalformedDirective(key, "names no data hall")
     if value is None:
-        return HallOrder(hall, False)
+        return HallDirective(hall, False)
     try:
-        _hall_orders.decode(value)
+        _hall_directives.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise MalformedOrder(key, str(error), hall) from error
-    return HallOrder(hall, True)
+        raise MalformedDirective(key, str(error), hall) from error
+    return HallDirective(hall, True)
 
 
 def decode_config(data: bytes) -> Config:
--- a/src/granitetrestle/platform/process.py
+++ b/src/granitetrestle/platform/process.py
@@ -63,7 +63,7 @@
         boxes=PlatformBoxes(caller),
         config_topic=CONFIG_TOPIC,
         box_topic=LIFE_TOPIC,
-        decode_operator=front.decode_order,
+        decode_operator=front.decode_directive,
         decode_box=decode_entry,
         advisor=advisor,
     )
--- a/src/granitetrestle/pollbudget.py
+++ b/src/granitetrestle/pollbudget.py
@@ -10,10 +10,10 @@
 import typing as t
 
 from .boxes import BoxView
-from .orderwindow import FILLS
-from .orderwindow import FIRST
-from .orderwindow import SHORT
-from .orderwindow import OrderWindow
+from .commandwindow import FILLS
+from .commandwindow import FIRST
+from .commandwindow import SHORT
+from .commandwindow import CommandWindow
 
 __all__ = ["PollBudget", "PollParameters"]
 
@@ -49,7 +49,7 @@
     idle: bool
 
 
-class OpeningWindow(OrderWindow):
+class OpeningWindow(CommandWindow):
     """Looks that begin. A box that is gone holds its turn until it is given up, but costs
     nothing meanwhile: as long as the others answer quickly, more may begin beside it."""
 
@@ -57,7 +57,7 @@
         super().__init__(slow_floor_s=OPENING_SLOW_S, at_least=OPENING_AT_LEAST)
 
     def unanswered(self) -> None:
-        """See :meth:`.OrderWindow.unanswered`."""
+        """See :meth:`.CommandWindow.unanswered`."""
         if self._slow:
             super().unanswered()
         else:
@@ -75,7 +75,7 @@
         self._waiting = 0
         # Boxes whose looks don't wait; they share the rate of looks.
         self._paused: set[str] = set()
-        self._opening: OrderWindow = OpeningWindow()
+        self._opening: CommandWindow = OpeningWindow()
 
     @property
     def waiting(self) -> int:
@@ -83,7 +83,7 @@
         return self._waiting
 
     @property
-    def opening(self) -> OrderWindow:
+    def opening(self) -> CommandWindow:
         """Lets first looks, and those at silent boxes, begin."""
         return self._opening
 
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -14,6 +14,8 @@
 from .comeback import ComeBack
 from .comeback import FollowingOutage
 from .comeback import SteadyReturns
+from .commandwindow import CommandWindow
+from .commandwindow import UnlimitedWindow
 from .decider import Decider
 from .decisions import GATED
 from .decisions import AnswerCall
@@ -43,8 +45,6 @@
 from .newestread import read_newest
 from .nodelog import NodeLog
 from .nodemetrics import NodeMetrics
-from .orderwindow import OpenWindow
-from .orderwindow import OrderWindow
 from .outside import Advice
 from .outside import AdviceUnavailable
 from .outside import Config
@@ -115,8 +115,8 @@
         self._keepers: dict[str, BoxKeeper] = {}
         steady = Mechanism.STEADY_RETURNS not in terms.off
         self._come_back: ComeBack = SteadyReturns() if steady else FollowingOutage()
-        limited = Mechanism.ORDER_WINDOW not in terms.off
-        self._window = OrderWindow(lag=self._lag) if limited else OpenWindow()
+        limited = Mechanism.COMMAND_WINDOW not in terms.off
+        self._window = CommandWindow(lag=self._lag) if limited else UnlimitedWindow()
         self._budget = PollBudget(terms.connections)
         self._loaded_at = time.monotonic()
         self._callers: dict[str, _Caller] = {}
--- a/src/granitetrestle_bench/deciding.py
+++ b/src/granitetrestle_bench/deciding.py
@@ -24,9 +24,9 @@
 from granitetrestle.jobcalls import CancelJob
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.outside import BoxEntry
+from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import OrderAccepted
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
@@ -190,7 +190,7 @@
             takes = task.spec.estimate_ms / 1000.0 * self.random.uniform(0.5, 1.5)
             end = (self.now + takes, order.incarnation, order.task, order.run)
             heapq.heappush(self.ends, end)
-        answer = OrderAccepted(int(self.now * 1000))
+        answer = CommandAccepted(int(self.now * 1000))
         self._apply(
             self.decider.start_answered(
                 order.incarnation, order.task, order.run, answer, self.now
--- a/src/granitetrestle_bench/takeover.py
+++ b/src/granitetrestle_bench/takeover.py
@@ -27,7 +27,7 @@
 from granitetrestle.outside import StoreUnavailable
 from granitetrestle.platform.boxes import PlatformBoxes
 from granitetrestle.platform.boxes import decode_entry
-from granitetrestle.platform.front import decode_order
+from granitetrestle.platform.front import decode_directive
 from granitetrestle.platform.store import CONFIG_TOPIC
 from granitetrestle.platform.store import LIFE_TOPIC
 from granitetrestle.platform.store import PlatformStore
@@ -281,7 +281,7 @@
         await anyio.sleep(0.1)
     boxes = PlatformBoxes(caller)
     sources = Sources(
-        store, boxes, CONFIG_TOPIC, LIFE_TOPIC, decode_order, decode_entry
+        store, boxes, CONFIG_TOPIC, LIFE_TOPIC, decode_directive, decode_entry
     )
     taken = await take_over(store, 1, "measured")
     assert isinstance(taken, Taken), taken
--- a/src/granitetrestle_standins/boxserver.py
+++ b/src/granitetrestle_standins/boxserver.py
@@ -7,8 +7,8 @@
 import time
 import typing as t
 
-from granitetrestle.outside import OrderAccepted
-from granitetrestle.outside import OrderRejected
+from granitetrestle.outside import CommandAccepted
+from granitetrestle.outside import CommandRejected
 from granitetrestle.outside import PollResult
 from granitetrestle_standins.boxprofiles import BoxProfile
 from granitetrestle_standins.boxprofiles import parse_spec
@@ -206,7 +206,7 @@
 
 def _poll(
     model: BoxModel, body: t.Mapping[str, t.Any], now: float
-) -> PollResult | OrderRejected:
+) -> PollResult | CommandRejected:
     token = body.get("fencing_token", 0)
     return model.poll(body.get("last_seen", 0), body.get("until_ms"), token, now)
 
@@ -218,7 +218,7 @@
     now: float,
     arrived: float,
     held_up: bool,
-) -> OrderAccepted | OrderRejected:
+) -> CommandAccepted | CommandRejected:
     task, run = order["task"], order["run"]
     token = order.get("fencing_token", 0)
     if path == "/api/run-start":
@@ -241,7 +241,7 @@
     return json_reply(200, answer)
 
 
-def _order_reply(outcome: OrderAccepted | OrderRejected) -> Reply:
-    if isinstance(outcome, OrderAccepted):
+def _order_reply(outcome: CommandAccepted | CommandRejected) -> Reply:
+    if isinstance(outcome, CommandAccepted):
         return json_reply(200, {"clock_ms": outcome.clock_ms})
     return json_reply(409, {"clock_ms": outcome.clock_ms, "reason": outcome.reason})
--- a/src/granitetrestle_standins/nativebox.py
+++ b/src/granitetrestle_standins/nativebox.py
@@ -7,9 +7,9 @@
 import random
 import typing as t
 
+from granitetrestle.outside import CommandAccepted
+from granitetrestle.outside import CommandRejected
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import OrderAccepted
-from granitetrestle.outside import OrderRejected
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import RunningTask
 from granitetrestle_standins.boxprofiles import PLAIN_BOX
@@ -149,7 +149,7 @@
         now: float,
         arrived: float | None = None,
         held_up: bool = False,
-    ) -> OrderAccepted | OrderRejected:
+    ) -> CommandAccepted | CommandRejected:
         """Begin a run.
 
         :param arrived: when the order came, if that was before.
@@ -170,18 +170,18 @@
                     refused is None,
                 )
             )
-            return OrderRejected("fence", clock)
+            return CommandRejected("fence", clock)
         self._renew(lease_ends_ms, now)
         current = self.running.get(task)
         if current is not None and current.run == run:
-            return OrderAccepted(clock)
+            return CommandAccepted(clock)
         reason = self._refusal(task, run, spec, lease_ends_ms, now)
         if reason is not None:
-            return OrderRejected(reason, clock)
+            return CommandRejected(reason, clock)
         began = BoxRun(task, run, spec, now, token, arrived, held_up)
         self.running[task] = began
         self.history.append(began)
-        return OrderAccepted(clock)
+        return CommandAccepted(clock)
 
     def _refusal(
         self, task: str, run: int, spec: str, lease_ends_ms: int, now: float
@@ -205,12 +205,12 @@
 
     def stop(
         self, task: str, run: int, token: int, now: float
-    ) -> OrderAccepted | OrderRejected:
+    ) -> CommandAccepted | CommandRejected:
         """End a run, or see to it that it never begins."""
         self.tick(now)
         clock = self._clock_ms(now)
         if self._fenced(token, now):
-            return OrderRejected("fence", clock)
+            return CommandRejected("fence", clock)
         self._highest[task] = max(run, self._highest.get(task, 0))
         current = self.running.get(task)
         if current is not None and current.run <= run and current.stop_ends is None:
@@ -218,27 +218,27 @@
                 0.0, self.profile.longest_stop_s
             )
             self.tick(now)
-        return OrderAccepted(clock)
+        return CommandAccepted(clock)
 
     def pace(
         self, task: str, run: int, percent: int, token: int, now: float
-    ) -> OrderAccepted | OrderRejected:
+    ) -> CommandAccepted | CommandRejected:
         """Let a run work at a share of its speed."""
         clock = self._clock_ms(now)
         if self._fenced(token, now):
-            return OrderRejected("fence", clock)
+            return CommandRejected("fence", clock)
         current = self.running.get(task)
         if current is not None and current.run == run:
             current.pace = percent
-        return OrderAccepted(clock)
+        return CommandAccepted(clock)
 
     def poll(
         self, known: int, lease_ends_ms: int | None, token: int, now: float
-    ) -> PollResult | OrderRejected:
+    ) -> PollResult | CommandRejected:
         """Confirm ends, renew the lease, list what runs and what ended."""
         self.tick(now)
         if self._fenced(token, now):
-            return OrderRejected("fence", self._clock_ms(now))
+            return CommandRejected("fence", self._clock_ms(now))
         self._told(known, now)
         self._renew(lease_ends_ms, now)
         return self.lists(now)
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -17,7 +17,7 @@
 from granitetrestle.outside import Appended
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import Config
-from granitetrestle.outside import HallOrder
+from granitetrestle.outside import HallDirective
 from granitetrestle.outside import PollOutcome
 from granitetrestle.outside import Records
 from granitetrestle.outside import Writer
@@ -121,11 +121,11 @@
             return
         news = store.read(HALLS, max(0, self.halls_from))
         if self.halls_from >= 0 and isinstance(news, Records):
-            orders = [HallOrder(r.key, r.value is not None) for r in news.records]
+            orders = [HallDirective(r.key, r.value is not None) for r in news.records]
             self.apply(evacuation.ordered(orders, self.now))
         else:
             newest = store.newest(HALLS)
-            orders = [HallOrder(record.key, True) for record in newest.records]
+            orders = [HallDirective(record.key, True) for record in newest.records]
             self.apply(evacuation.all_ordered(orders, (), self.now))
         self.halls_from = store.end(HALLS)
         evacuation.heard(self.now)
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -16,10 +16,10 @@
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import BoxNoAnswer
 from granitetrestle.outside import BoxReplaced
+from granitetrestle.outside import CommandNotSent
+from granitetrestle.outside import CommandOutcome
 from granitetrestle.outside import Config
 from granitetrestle.outside import EndedRun
-from granitetrestle.outside import OrderNotSent
-from granitetrestle.outside import OrderOutcome
 from granitetrestle.outside import PollOutcome
 from granitetrestle.outside import Queue
 from granitetrestle.outside import Record
@@ -255,7 +255,7 @@
         if draw < self.late_share:
             at = self.now + self.random.uniform(0.2, 6.0)
             self._late.append(_Late(at, sender.epoch, until, order))
-            outcome: OrderOutcome = BoxNoAnswer("late")
+            outcome: CommandOutcome = BoxNoAnswer("late")
         elif self._unreachable(sender, order.incarnation):
             outcome = BoxNoAnswer("cut")
         else:
@@ -277,7 +277,7 @@
             )
 
     def _not_sent(self, sender: DeciderProcess, order: StartTask) -> None:
-        outcome = OrderNotSent("withdrawn")
+        outcome = CommandNotSent("withdrawn")
         sender.apply(
             sender.decider.start_answered(
                 order.incarnation, order.task, order.run, outcome, sender.now
@@ -292,7 +292,7 @@
         if self.now - max(since, self._store_up_at) > IN_FORCE_S:
             raise PromiseBroken(f"{order.task} was sent to an evacuated hall")
 
-    def _carry_out(self, order: Order, until: int, token: int) -> OrderOutcome:
+    def _carry_out(self, order: Order, until: int, token: int) -> CommandOutcome:
         box = self.boxes[order.incarnation]
         if not box.alive:
             return self._dead(order.incarnation)
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -36,7 +36,7 @@
         "native: starts for an evacuated hall keep their place in the window",
         (
             (
-                "orderwindow.py",
+                "commandwindow.py",
                 "for entry in [e for e in waiting if e.kind != FIRST and e.incarnation in incarnations]:",
                 "for entry in list[_Waiting]():",
             ),
