--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -6,7 +6,7 @@
 from behave import when
 from msgspec.structs import replace
 
-from granitetrestle.commandwindow import FILLS
+from granitetrestle.commandwindow import BEST_EFFORT
 from granitetrestle.commandwindow import FIRST
 from granitetrestle.commandwindow import SHORT
 from granitetrestle.commandwindow import CommandWindow
@@ -221,7 +221,7 @@
         async with anyio.create_task_group() as tasks:
             for kind, incarnation in (
                 (SHORT, "a"),
-                (FILLS, "a"),
+                (BEST_EFFORT, "a"),
                 (FIRST, "a"),
                 (SHORT, "b"),
             ):
@@ -238,7 +238,9 @@
 
 @then("the starts for a have their turn now, stops and those for b wait on")
 def starts_released(context):
-    assert sorted(context.granted) == [(SHORT, "a"), (FILLS, "a")], context.granted
+    assert sorted(context.granted) == [(SHORT, "a"), (BEST_EFFORT, "a")], (
+        context.granted
+    )
     assert context.waiting == 2
 
 
@@ -353,7 +355,7 @@
 def slowed(context):
     context.halls = TwoHalls()
     state = context.halls.decider.state
-    step = Step(count=1, cpu=1000, memory_mb=10, fills=True, image="f")
+    step = Step(count=1, cpu=1000, memory_mb=10, best_effort=True, image="f")
     box = context.halls.submit("00aa", step)[0]
     context.task = next(iter(state.workflows["00aa"].tasks.values()))
     state.boxes[box].evacuated = False
--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -168,7 +168,7 @@
             lasting=lasting,
             image=draw.choice("uvwxyz"),
             target_ms=100.0 if kind == "serves" else 0.0,
-            fills=kind == "fills",
+            best_effort=kind == "fills",
         )
 
     def submit(self):
@@ -301,9 +301,13 @@
     )
     decider.fleet.listed({"b": box}, 50.0)
     decider.fleet.poll_answered("b", 50.0, 50.0, PollResult(50_000, (), ()))
-    hand_in(decider, "a", "low", Step(count=1, cpu=3500, memory_mb=1000, fills=True))
+    hand_in(
+        decider, "a", "low", Step(count=1, cpu=3500, memory_mb=1000, best_effort=True)
+    )
     assert starts_of(decider.decide(50.1, 50_100)) == [f"{'a' * 16}.0.0.0"]
-    hand_in(decider, "b", "low", Step(count=1, cpu=3500, memory_mb=5000, fills=True))
+    hand_in(
+        decider, "b", "low", Step(count=1, cpu=3500, memory_mb=5000, best_effort=True)
+    )
     for turn in range(3):
         assert not starts_of(decider.decide(50.2 + turn / 2, 50_200))
 
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -118,7 +118,7 @@
             10,
             estimate_ms=int(self.TASK_S * 1000),
             image="f",
-            fills=True,
+            best_effort=True,
         )
         call = SubmitJob(Submission(job, "q", "pool", "s", (step,)))
         self.take(self.decider.called(job, call, self.now))
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -89,8 +89,8 @@
         context.interference.saw("serving", 0.51, 0.5, 0.001, {"weak": 0.1})
     steps = (
         Step(count=2, cpu=4000, lasting=True, image="serving", target_ms=100.0),
-        Step(count=2, cpu=8000, image="strong", fills=True),
-        Step(count=2, cpu=4000, image="weak", fills=True),
+        Step(count=2, cpu=8000, image="strong", best_effort=True),
+        Step(count=2, cpu=4000, image="weak", best_effort=True),
     )
     workflow = Workflow(Submission("1", "q", "pool", "", steps), 0.0)
     entry = BoxEntry(
@@ -116,10 +116,10 @@
 def counts_waiting(context):
     for task, percent in pace_changes(context.box, context.interference, 10.0):
         task.set_pace(percent, 10.0)
-    step = Step(count=1, cpu=8000, image="strong", fills=True)
+    step = Step(count=1, cpu=8000, image="strong", best_effort=True)
     load = box_load(context.box, context.interference, 10.5)
     assert bearable_pace(step, context.box, load, context.interference) == 0.0
-    weak = Step(count=1, cpu=1000, image="weak", fills=True)
+    weak = Step(count=1, cpu=1000, image="weak", best_effort=True)
     assert bearable_pace(weak, context.box, load, context.interference) == 1.0
 
 
@@ -127,7 +127,7 @@
 def over_target(context):
     steps = (
         Step(count=1, cpu=4000, lasting=True, image="serving", target_ms=100.0),
-        Step(count=1, cpu=4000, image="filler", fills=True),
+        Step(count=1, cpu=4000, image="filler", best_effort=True),
     )
     workflow = Workflow(Submission("1", "q", "pool", "", steps), 0.0)
     entry = BoxEntry(
@@ -169,7 +169,7 @@
 @then("it stays so over one figure below the target, and nothing more is sent there")
 def stays_slowed(context):
     assert poll(context, 12.5, 90.0) == []
-    step = Step(count=1, cpu=1000, image="unknown", fills=True)
+    step = Step(count=1, cpu=1000, image="unknown", best_effort=True)
     load = box_load(context.box, context.interference, 12.5)
     assert bearable_pace(step, context.box, load, context.interference) == 0.0
     # Well below the target, it goes on.
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -324,7 +324,7 @@
 
 @when("a job that fills is half done and a shorter one waits for the same room")
 def half_done(context):
-    first = Step(count=1, cpu=1000, memory_mb=8000, estimate_ms=1000, fills=True)
+    first = Step(count=1, cpu=1000, memory_mb=8000, estimate_ms=1000, best_effort=True)
     second = replace(first, depends_on=(0,))
     context.half = context.world.submit((first, second))
     context.world.advance(0.2)
@@ -352,7 +352,7 @@
 def no_box_bears(context):
     decider = context.world.leader.decider
     decider.dispatcher.packer = NoBox()
-    step = Step(count=5, cpu=1000, memory_mb=100, estimate_ms=5000, fills=True)
+    step = Step(count=5, cpu=1000, memory_mb=100, estimate_ms=5000, best_effort=True)
     context.job = context.world.submit((step,))
 
 
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -81,14 +81,14 @@
         estimate_ms = int(1000 * lasts_s * math.exp(draw.gauss(0.0, 0.6)))
         job = f"{len(self.came):016x}"
         first = Step(
-            tasks, TASK_CPU, 10, estimate_ms=estimate_ms, image="f", fills=True
+            tasks, TASK_CPU, 10, estimate_ms=estimate_ms, image="f", best_effort=True
         )
         second = Step(
             *(tasks, TASK_CPU, 10),
             estimate_ms=estimate_ms,
             depends_on=(0,),
             image="f",
-            fills=True,
+            best_effort=True,
         )
         self.lasts[job] = lasts_s
         self.came[job] = (self.now, 2 * tasks * lasts_s)
@@ -180,7 +180,7 @@
 
 def waiting(order, job, tasks, done=0, latest=200.0):
     """A step of a job that waits."""
-    step = Step(tasks, 1000, 10, estimate_ms=1000, image="f", fills=True)
+    step = Step(tasks, 1000, 10, estimate_ms=1000, image="f", best_effort=True)
     workflow = Workflow(Submission(job, "q", "pool", "s", (step,)), 100.0)
     order.submitted(workflow)
     for task in workflow.step_tasks(0, 0)[:done]:
--- a/src/granitetrestle/boxes.py
+++ b/src/granitetrestle/boxes.py
@@ -88,7 +88,7 @@
         self.running: dict[str, RunningTask] = {}
         self.cpu_used = 0
         self.short_cpu = 0
-        self.fill_cpu = 0
+        self.best_effort_cpu = 0
         self.memory_used = 0
         self.gpu_used = 0
         self.serving: dict[str, Task] = {}
@@ -181,7 +181,7 @@
 
     def fits(self, step: Step) -> bool:
         """Say whether one more task of ``step`` has room."""
-        cpu = 0 if step.fills else step.cpu
+        cpu = 0 if step.best_effort else step.cpu
         return (
             cpu <= self.cpu_free
             and step.memory_mb <= self.entry.memory_mb - self.memory_used
@@ -193,7 +193,7 @@
         self.tasks[task.name] = task
         if task.spec.target_ms:
             self.serving[task.name] = task
-        if task.spec.fills:
+        if task.spec.best_effort:
             self.fillers[task.name] = task
         self._count(task.spec, 1)
 
@@ -209,8 +209,8 @@
 
     def _count(self, step: Step, sign: int) -> None:
         self.version += 1
-        if step.fills:
-            self.fill_cpu += sign * step.cpu
+        if step.best_effort:
+            self.best_effort_cpu += sign * step.cpu
         else:
             self.cpu_used += sign * step.cpu
             if not step.lasting:
--- a/src/granitetrestle/boxlife.py
+++ b/src/granitetrestle/boxlife.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from .commandwindow import FILLS
+from .commandwindow import BEST_EFFORT
 from .commandwindow import FIRST
 from .commandwindow import SHORT
 from .commandwindow import CommandWindow
@@ -222,7 +222,7 @@
             )
 
         began = time.monotonic()
-        outcome = await self._try(send, FILLS if order.fills else SHORT)
+        outcome = await self._try(send, BEST_EFFORT if order.best_effort else SHORT)
         now = time.monotonic()
         self._metrics.observe("order", now - began)
         self._apply(
--- a/src/granitetrestle/commandwindow.py
+++ b/src/granitetrestle/commandwindow.py
@@ -14,12 +14,12 @@
 
 from .looplag import LoopLag
 
-__all__ = ["FILLS", "FIRST", "SHORT", "UnlimitedWindow", "CommandWindow"]
+__all__ = ["BEST_EFFORT", "FIRST", "SHORT", "UnlimitedWindow", "CommandWindow"]
 
 # Classes of orders: what frees room or protects others goes first, what fills last.
 FIRST: t.Final = 0
 SHORT: t.Final = 1
-FILLS: t.Final = 2
+BEST_EFFORT: t.Final = 2
 # Orders that may be on their way at first, at least and at most. The most is what one
 # process's descriptors and the boxes' connections bear; it is far above what answers
 # within 10 ms ever need.
--- a/src/granitetrestle/decider.py
+++ b/src/granitetrestle/decider.py
@@ -273,7 +273,7 @@
             if task.state == STARTING:
                 task.runs(now)
                 box = self._state.boxes.get(incarnation)
-                if box is not None and task.spec.fills and box.serving:
+                if box is not None and task.spec.best_effort and box.serving:
                     # What it disturbs should not wait for the next look.
                     return self._fleet.repace(box, now)
             return []
--- a/src/granitetrestle/decisions.py
+++ b/src/granitetrestle/decisions.py
@@ -38,7 +38,7 @@
     spec: str
     checkpoint: str
     ticket: str
-    fills: bool = False
+    best_effort: bool = False
 
 
 class StopTask(t.NamedTuple):
--- a/src/granitetrestle/dispatch.py
+++ b/src/granitetrestle/dispatch.py
@@ -139,7 +139,7 @@
             if left <= 0:
                 self._cut_short = True
                 break
-            if not fill and entry.spec.fills:
+            if not fill and entry.spec.best_effort:
                 continue
             # The last task of a step may have been listed as done while it waited.
             due = entry.workflow.due_at_ms(entry.occurrence) <= wall_ms
@@ -180,7 +180,7 @@
         short: dict[str, int] = {}
         for entry in self._state.waiting.values():
             step = entry.spec
-            if not step.lasting and not step.fills:
+            if not step.lasting and not step.best_effort:
                 service = self._state.service_of(entry.workflow)
                 need = len(entry.tasks) * step.cpu
                 short[service] = short.get(service, 0) + need
@@ -195,7 +195,13 @@
             return self._ask_advice(entry, pool, now)
         if step.gang:
             return self._place_gang(entry, step, pool, now)
-        kind = (step.image, step.cpu, step.memory_mb, step.required_labels, step.fills)
+        kind = (
+            step.image,
+            step.cpu,
+            step.memory_mb,
+            step.required_labels,
+            step.best_effort,
+        )
         entry.since = now if entry.since is None else entry.since
         effects: list[Decision] = []
         tasks = list(entry.tasks.values())
@@ -312,7 +318,7 @@
 
     def _starved(self, entry: WaitingStep, step: Step, now: float) -> bool:
         """Say whether a job that fills has had nothing running for too long."""
-        if not step.fills or entry.since is None or now - entry.since < STARVED_S:
+        if not step.best_effort or entry.since is None or now - entry.since < STARVED_S:
             return False
         return not any(task.placed for task in entry.workflow.tasks.values())
 
@@ -405,7 +411,7 @@
             spec,
             task.checkpoint,
             task.ticket,
-            task.spec.fills,
+            task.spec.best_effort,
         )
 
     def move_slowed(self, now: float) -> list[Decision]:
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -255,7 +255,9 @@
         if box is None:
             return None
         undurable = box.known > box.durable_known
-        wait = POLL_WAIT_PACED_MS if box.serving and box.fill_cpu else POLL_WAIT_MS
+        wait = (
+            POLL_WAIT_PACED_MS if box.serving and box.best_effort_cpu else POLL_WAIT_MS
+        )
         if undurable or not box.adopted:
             wait = 0
         until = self.lease_until(box, now) if may_renew else None
--- a/src/granitetrestle/overload.py
+++ b/src/granitetrestle/overload.py
@@ -104,7 +104,7 @@
         for image, bearable in spares.items()
     )
     openness = interference.openness(spares)
-    return BoxLoad(box.cpu_free + idle - box.fill_cpu, serving, openness)
+    return BoxLoad(box.cpu_free + idle - box.best_effort_cpu, serving, openness)
 
 
 def bearable_pace(
--- a/src/granitetrestle/packing.py
+++ b/src/granitetrestle/packing.py
@@ -114,7 +114,7 @@
         return _WarmFirst(self._by_harm(task, interference, now))
 
     def _by_harm(self, task: Task, interference: Interference, now: float) -> Ranking:
-        if task.spec.fills:
+        if task.spec.best_effort:
             return _Filling(task.spec, interference, now, WAIT_PACE)
         if task.spec.target_ms and self._grouping:
             return _Serving(task, interference)
@@ -168,7 +168,7 @@
     """Tasks of one step share their load, so they are quiet at the same time; else
     the smallest gap is filled first."""
     strange = not any(_same_step(task, other) for other in box.serving.values())
-    return (strange, box.cpu_free, box.fill_cpu, box.incarnation)
+    return (strange, box.cpu_free, box.best_effort_cpu, box.incarnation)
 
 
 def _same_step(task: Task, other: Task) -> bool:
@@ -181,7 +181,7 @@
     """Leave boxes that are being filled alone, and fill gaps first."""
 
     def of(self, box: BoxView) -> Rank:
-        return (box.fill_cpu > 0, box.cpu_free, box.incarnation)
+        return (box.best_effort_cpu > 0, box.cpu_free, box.incarnation)
 
 
 class _Filling(Ranking):
--- a/src/granitetrestle/platform/front.py
+++ b/src/granitetrestle/platform/front.py
@@ -299,7 +299,7 @@
         lasting=raw.long_running,
         image=raw.image,
         target_ms=raw.target_ms,
-        fills=raw.fills,
+        best_effort=raw.fills,
         may_be_away=raw.may_miss,
     )
 
--- a/src/granitetrestle/pollbudget.py
+++ b/src/granitetrestle/pollbudget.py
@@ -10,7 +10,7 @@
 import typing as t
 
 from .boxes import BoxView
-from .commandwindow import FILLS
+from .commandwindow import BEST_EFFORT
 from .commandwindow import FIRST
 from .commandwindow import SHORT
 from .commandwindow import CommandWindow
@@ -92,7 +92,7 @@
         """Return the class in which a look at ``box`` has to wait for its turn to begin,
         or ``None`` if it needs no turn."""
         if box.silent_since is not None:
-            return FILLS
+            return BEST_EFFORT
         if box.adopted:
             return None
         return FIRST if box.tasks else SHORT
--- a/src/granitetrestle/waitingorder.py
+++ b/src/granitetrestle/waitingorder.py
@@ -77,7 +77,7 @@
 
     def submitted(self, workflow: Workflow) -> None:
         """See :meth:`WaitingOrder.submitted`."""
-        if any(step.fills for step in workflow.submission.steps):
+        if any(step.best_effort for step in workflow.submission.steps):
             self._sizes.submitted(workflow.submission.queue, workflow.whole_work)
 
     def begin(self, now: float) -> None:
@@ -87,7 +87,7 @@
 
     def started(self, task: Task) -> None:
         """See :meth:`WaitingOrder.started`."""
-        if task.spec.fills and self._size_shares:
+        if task.spec.best_effort and self._size_shares:
             work = task.spec.cpu * task.spec.estimate_ms
             part = work / max(1, task.workflow.whole_work)
             self._sizes.started(self._size(task.workflow), part)
@@ -99,7 +99,7 @@
     def key(self, entry: WaitingStep, now: float) -> OrderKey:
         """See :meth:`WaitingOrder.key`."""
         lateness = self._lateness(entry, now)
-        if not entry.spec.fills:
+        if not entry.spec.best_effort:
             return (entry.priority, lateness, True, entry.latest_start)
         workflow = entry.workflow
         left = float(workflow.work_left)
@@ -127,7 +127,7 @@
     waiting = dict.fromkeys(kinds, 0)
     for entry in entries:
         kind = "short"
-        if entry.spec.fills:
+        if entry.spec.best_effort:
             kind = "fills"
         elif entry.spec.lasting:
             kind = "lasting"
--- a/src/granitetrestle/workflows.py
+++ b/src/granitetrestle/workflows.py
@@ -70,7 +70,7 @@
     lasting: bool = False
     image: str = ""
     target_ms: float = 0.0
-    fills: bool = False
+    best_effort: bool = False
     may_be_away: int = 0
 
 
--- a/src/granitetrestle_bench/deciding.py
+++ b/src/granitetrestle_bench/deciding.py
@@ -156,7 +156,7 @@
                 lasting=serving,
                 image="" if kind.queue == "short" else image,
                 target_ms=150.0 if serving else 0.0,
-                fills=kind.queue == "fill",
+                best_effort=kind.queue == "fill",
             )
             steps.append(step)
         job = f"{next(self.numbers):016x}"
--- a/src/granitetrestle_bench/takeover.py
+++ b/src/granitetrestle_bench/takeover.py
@@ -159,7 +159,7 @@
             lasting=serving,
             image=f"{kind.queue}{self._random.randrange(30)}",
             target_ms=150.0 if serving else 0.0,
-            fills=kind.queue == "fill",
+            best_effort=kind.queue == "fill",
         )
 
     def _incarnation(self, number: int) -> str:
