--- a/features/lasting_task.py
+++ b/features/lasting_task.py
@@ -5,7 +5,7 @@
 
 def lasting_task(context):
     context.job = context.world.submit(
-        (Step(count=1, cpu=500, memory_mb=10, lasting=True),)
+        (Step(count=1, cpu=500, memory_mb=10, long_running=True),)
     )
     context.world.advance(4.0)
     decider = context.world.leader.decider
--- a/features/native_machines.py
+++ b/features/native_machines.py
@@ -19,7 +19,7 @@
     [
         (Step(count=1, cpu=1000, memory_mb=100),),
         (Step(count=4, cpu=1000, memory_mb=100),),
-        (Step(count=2, cpu=500, memory_mb=100, lasting=True),),
+        (Step(count=2, cpu=500, memory_mb=100, long_running=True),),
         (
             Step(count=2, cpu=1000, memory_mb=100),
             Step(count=3, cpu=2000, memory_mb=100, depends_on=(0,)),
--- a/features/random_shard.py
+++ b/features/random_shard.py
@@ -135,7 +135,7 @@
     tasks that do that, how many other jobs were given up, and how many there were."""
     world = ShardWorld(seed, 12)
     step = Step(count=4, cpu=500, memory_mb=10)
-    lasting = Step(count=4, cpu=500, memory_mb=10, lasting=True)
+    lasting = Step(count=4, cpu=500, memory_mb=10, long_running=True)
     others = [world.submit((lasting,)) for _ in range(6)]
     world.advance(8.0)
     bad = []
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -16,7 +16,7 @@
 from random_shard import crashes_among_others
 
 SHORT = Step(count=3, cpu=500, memory_mb=10)
-LASTING = Step(count=4, cpu=500, memory_mb=10, lasting=True)
+LASTING = Step(count=4, cpu=500, memory_mb=10, long_running=True)
 
 
 def notes(context, event):
@@ -34,7 +34,7 @@
 )
 def crash_beside_long_job(context):
     world = context.world
-    lasting = Step(count=3, cpu=500, memory_mb=10, lasting=True, per_box=1)
+    lasting = Step(count=3, cpu=500, memory_mb=10, long_running=True, per_box=1)
     context.long = world.submit((lasting,))
     world.advance(6.0)
     context.bad = world.submit((Step(count=1, cpu=500, memory_mb=10),))
@@ -59,8 +59,8 @@
 @given("a shard of {boxes:d} boxes among models, at work for several accounts")
 def shard_at_work(context, boxes):
     context.world = world = ShardWorld(7, boxes)
-    context.lasting = [world.submit((LASTING,)) for _ in range(2)]
-    context.others = list(context.lasting)
+    context.long_running = [world.submit((LASTING,)) for _ in range(2)]
+    context.others = list(context.long_running)
     world.advance(8.0)
 
 
@@ -131,7 +131,7 @@
     assert len(states) > 40, len(states)
     for job, state in states.items():
         assert state != "failed", job
-        if job in context.lasting:
+        if job in context.long_running:
             assert state == "running", (job, state)
         else:
             after = world.leader.decider.state.workflows[job].state
@@ -289,7 +289,7 @@
 @when("a box crashes on which {count:d} tasks of {jobs:d} lasting jobs have just begun")
 def box_of_many(context, count, jobs):
     world = context.world
-    lasting = Step(count=1, cpu=200, memory_mb=10, lasting=True)
+    lasting = Step(count=1, cpu=200, memory_mb=10, long_running=True)
     context.jobs = [world.submit((lasting,)) for _ in range(jobs)]
     world.advance(0.2)
     decider = world.leader.decider
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -72,7 +72,7 @@
 @given("long tasks run in both halls")
 def long_tasks(context):
     context.long = context.world.submit(
-        (Step(count=4, cpu=1500, memory_mb=10, lasting=True),)
+        (Step(count=4, cpu=1500, memory_mb=10, long_running=True),)
     )
     context.world.advance(0.3)
     assert hall_of_runs(context, context.long) == {"h1", "h2"}
--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -165,7 +165,7 @@
             required_labels=draw.choice(((), (), (), ("a",))),
             affinity=draw.choice(("", "", "r1")),
             per_box=draw.choice((0, 0, 1, 2)),
-            lasting=lasting,
+            long_running=lasting,
             image=draw.choice("uvwxyz"),
             target_ms=100.0 if kind == "serves" else 0.0,
             best_effort=kind == "fills",
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -16,7 +16,7 @@
 from granitetrestle.shardstate import DeciderTerms
 from granitetrestle.workflows import Step
 
-LARGE = Step(count=30, cpu=1000, memory_mb=100_000, lasting=True)
+LARGE = Step(count=30, cpu=1000, memory_mb=100_000, long_running=True)
 ONE = msgspec.structs.replace(SERVING, count=1)
 SMALL = Step(count=1, cpu=1000, memory_mb=100, estimate_ms=800)
 OFF = frozenset({Mechanism.HEADROOM})
@@ -90,7 +90,7 @@
     notes = [note for note in context.desk.notes if note.event == "lasting_waits"]
     causes = [note.inputs["cause"] for note in notes]
     assert 1 <= len(causes) <= 3 and set(causes) == {cause}, notes
-    causes = context.desk.decider.lasting_waits.causes
+    causes = context.desk.decider.long_running_waits.causes
     counted = {counted.value for counted, tasks in causes.items() if tasks}
     assert counted == {cause}, causes
 
@@ -101,7 +101,7 @@
     def __init__(self):
         self.desk = Desk(1, OFF)
         self.fails = True
-        self.lasting = self.desk.submit("lasting", ONE)
+        self.long_running = self.desk.submit("lasting", ONE)
         self.lasting_starts = []
         self.short_starts = []
         self._seen = set()
@@ -110,7 +110,9 @@
     def _note(self, task):
         if (task.name, task.run) not in self._seen:
             self._seen.add((task.name, task.run))
-            starts = self.lasting_starts if task.spec.lasting else self.short_starts
+            starts = (
+                self.lasting_starts if task.spec.long_running else self.short_starts
+            )
             starts.append(self.desk.now)
 
     def step(self):
@@ -121,7 +123,7 @@
         for task in self._tasks():
             self._note(task)
         for task in before:
-            if task.placed and (self.fails or not task.spec.lasting):
+            if task.placed and (self.fails or not task.spec.long_running):
                 desk.end(task, "failed" if self.fails else "done")
 
     def _tasks(self):
@@ -200,7 +202,7 @@
 @then("the lasting task runs there for good within {seconds:g} seconds more")
 def runs_for_good(context, seconds):
     failing = context.failing
-    (task,) = failing.lasting.tasks.values()
+    (task,) = failing.long_running.tasks.values()
     began = failing.desk.now
     while not task.placed and failing.desk.now - began < 30.0:
         failing.step()
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -88,7 +88,7 @@
         context.interference.saw("serving", 0.76, 0.5, 0.001, {"strong": 0.1})
         context.interference.saw("serving", 0.51, 0.5, 0.001, {"weak": 0.1})
     steps = (
-        Step(count=2, cpu=4000, lasting=True, image="serving", target_ms=100.0),
+        Step(count=2, cpu=4000, long_running=True, image="serving", target_ms=100.0),
         Step(count=2, cpu=8000, image="strong", best_effort=True),
         Step(count=2, cpu=4000, image="weak", best_effort=True),
     )
@@ -126,7 +126,7 @@
 @given("a serving task that is over its target beside an image held for harmless")
 def over_target(context):
     steps = (
-        Step(count=1, cpu=4000, lasting=True, image="serving", target_ms=100.0),
+        Step(count=1, cpu=4000, long_running=True, image="serving", target_ms=100.0),
         Step(count=1, cpu=4000, image="filler", best_effort=True),
     )
     workflow = Workflow(Submission("1", "q", "pool", "", steps), 0.0)
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -204,7 +204,7 @@
 def cancelled_then_dies(context):
     world = context.world
     # Tasks whose index ends in 2 run for five seconds.
-    step = Step(count=3, cpu=500, memory_mb=10, lasting=True)
+    step = Step(count=3, cpu=500, memory_mb=10, long_running=True)
     context.job = world.submit((step,))
     world.advance(0.3)
     leader = world.leader
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -40,7 +40,7 @@
 QUEUE = Queue("q", "host", "/q/", "pool", 0, 3, 1.5, 1000.0)
 CONFIG = Config(1, (QUEUE,), {"pool": True}, 262144)
 SERVING = Step(
-    count=30, cpu=15_000, memory_mb=100, lasting=True, image="s", target_ms=50.0
+    count=30, cpu=15_000, memory_mb=100, long_running=True, image="s", target_ms=50.0
 )
 SHORT = Step(count=1, cpu=19_000, memory_mb=100, estimate_ms=800)
 
@@ -197,7 +197,9 @@
 @when("one task of image a, two of image b and one more of a come to serve")
 def serving_come(context):
     for job, (image, count) in enumerate((("a", 1), ("b", 2), ("a", 1))):
-        step = Step(count=count, cpu=13_000, lasting=True, image=image, target_ms=50.0)
+        step = Step(
+            count=count, cpu=13_000, long_running=True, image=image, target_ms=50.0
+        )
         context.desk.submit(str(job), step)
 
 
@@ -287,7 +289,7 @@
 
 @then("no more is asked of its tasks than their target bears")
 def aims_low(context):
-    step = Step(count=1, cpu=1000, lasting=True, image="s", target_ms=50.0)
+    step = Step(count=1, cpu=1000, long_running=True, image="s", target_ms=50.0)
     workflow = Workflow(Submission("1", "q", "pool", "", (step,)), 0.0)
     (task,) = workflow.tasks.values()
     entry = Desk(1).entries["b0"]
--- a/src/granitetrestle/boxes.py
+++ b/src/granitetrestle/boxes.py
@@ -213,7 +213,7 @@
             self.best_effort_cpu += sign * step.cpu
         else:
             self.cpu_used += sign * step.cpu
-            if not step.lasting:
+            if not step.long_running:
                 self.short_cpu += sign * step.cpu
         self.memory_used += sign * step.memory_mb
         self.gpu_used += sign * step.gpu
--- a/src/granitetrestle/boxsearch.py
+++ b/src/granitetrestle/boxsearch.py
@@ -145,7 +145,7 @@
         # Boxes that took tasks in this search; the index hears of that after it.
         self._changed: set[str] = set()
         # Whether other boxes come into question once the ranked ones are full.
-        self._widens = bool(self._step.lasting or self._step.affinity)
+        self._widens = bool(self._step.long_running or self._step.affinity)
 
     def best(self) -> BoxView | None:
         if self._taken is not None:
--- a/src/granitetrestle/decider.py
+++ b/src/granitetrestle/decider.py
@@ -27,7 +27,7 @@
 from .jobcalls import NoSuchJob
 from .jobcalls import SubmitJob
 from .jobcalls import WaitingCount
-from .lastingwaits import LastingWaits
+from .longrunningwaits import LongRunningWaits
 from .outside import Advice
 from .outside import AdviceUnavailable
 from .outside import BoxNoAnswer
@@ -75,7 +75,7 @@
         self._fleet = Fleet(self._state, self._progress, now)
         self._dispatcher = Dispatcher(self._state, self._progress, packer, now)
         self._evacuation = Evacuation(self._state)
-        self._lasting_waits = LastingWaits(self._state)
+        self._long_running_waits = LongRunningWaits(self._state)
         self._swept_at = now
         self._learnt_at = now
         self._doubtful: list[Workflow] = []
@@ -96,9 +96,9 @@
         return self._evacuation
 
     @property
-    def lasting_waits(self) -> LastingWaits:
+    def long_running_waits(self) -> LongRunningWaits:
         """Why lasting work waits."""
-        return self._lasting_waits
+        return self._long_running_waits
 
     @property
     def dispatcher(self) -> Dispatcher:
@@ -213,7 +213,7 @@
         if now - self._learnt_at > LEARNT_EVERY_S:
             self._learnt_at = now
             self._state.note_interference()
-        effects += self._lasting_waits.tell(
+        effects += self._long_running_waits.tell(
             self._dispatcher.headroom,
             most_starts,
             self._fleet.inherited_ends_of,
--- a/src/granitetrestle/dispatch.py
+++ b/src/granitetrestle/dispatch.py
@@ -180,7 +180,7 @@
         short: dict[str, int] = {}
         for entry in self._state.waiting.values():
             step = entry.spec
-            if not step.lasting and not step.best_effort:
+            if not step.long_running and not step.best_effort:
                 service = self._state.service_of(entry.workflow)
                 need = len(entry.tasks) * step.cpu
                 short[service] = short.get(service, 0) + need
@@ -221,7 +221,7 @@
                 box = least_filled(self._ticketed(entry, search.able()))
                 if box is not None:
                     search.taken(box)
-            if box is None and step.lasting and pool.aside and not search.able():
+            if box is None and step.long_running and pool.aside and not search.able():
                 box = self._trial_box(entry, task, pool, now)
                 if box is not None:
                     inputs = {
@@ -232,7 +232,7 @@
             if box is None:
                 # What lasts must be looked at each time: how long there has been room
                 # for it counts.
-                if not step.per_box and not step.lasting:
+                if not step.per_box and not step.long_running:
                     self._no_box.add(kind)
                 break
             effects.append(self._start_waiting(entry, task, box, now))
@@ -300,7 +300,7 @@
     ) -> list[BoxView]:
         """Leave out boxes that have room and may not be taken."""
         boxes = self._ticketed(entry, boxes)
-        if entry.spec.lasting:
+        if entry.spec.long_running:
             boxes = self._headroom.open_to(entry, boxes, now)
         return boxes
 
@@ -327,7 +327,7 @@
             return []
         entry.asked_at = now
         candidates = list(pool.boxes.values())
-        if entry.spec.lasting:
+        if entry.spec.long_running:
             candidates += pool.aside.values()
         # Which boxes are good for a step does not change. Where none of the roomiest was,
         # as among idle boxes, the same ones were asked about for ever.
@@ -458,7 +458,7 @@
 
 
 def _has_boxes(pool: Pool, step: Step) -> bool:
-    return bool(pool.boxes or (step.lasting and pool.aside))
+    return bool(pool.boxes or (step.long_running and pool.aside))
 
 
 def _default_packer(state: ShardState) -> Packer:
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -178,7 +178,7 @@
         for task in list(box.tasks.values()):
             if task.state != RUNNING:
                 continue
-            if task.spec.lasting or self._must_move(box, task, now):
+            if task.spec.long_running or self._must_move(box, task, now):
                 effects += self._progress.stop(task, now)
         return effects
 
--- a/src/granitetrestle/lastingwaits.py
+++ b/src/granitetrestle/longrunningwaits.py
@@ -14,7 +14,7 @@
 from .shardstate import ShardState
 from .shardstate import WaitingStep
 
-__all__ = ["LastingWaits", "WaitCause"]
+__all__ = ["LongRunningWaits", "WaitCause"]
 
 # Waits that are shorter are usual: a look, a write and an order take up to one second.
 TOLD_AFTER_S: t.Final = 3.0
@@ -72,7 +72,7 @@
 )
 
 
-class LastingWaits:
+class LongRunningWaits:
     """Tells of lasting work that waits for long.
 
     :ivar causes: cause -> how many tasks have waited for long, as last told.
@@ -104,7 +104,7 @@
         waits = [
             entry
             for entry in self._state.waiting.values()
-            if entry.spec.lasting and now - entry.waits_since > TOLD_AFTER_S
+            if entry.spec.long_running and now - entry.waits_since > TOLD_AFTER_S
         ]
         waits.sort(key=lambda entry: entry.waits_since)
         for entry in waits[: max(1, min(TOLD_AT_MOST, BOXES_AT_MOST // boxes))]:
@@ -165,7 +165,7 @@
             since = box.silent_since
             if since is None or now - since <= TOLD_AFTER_S:
                 continue
-            lasting = sum(task.spec.lasting for task in box.tasks.values())
+            lasting = sum(task.spec.long_running for task in box.tasks.values())
             if not lasting:
                 continue
             inputs = {
@@ -183,7 +183,7 @@
     ) -> t.Iterator[Noted]:
         for incarnation, tasks in self._state.inherited.items():
             lasting = sum(
-                task.spec.lasting for task in tasks if task.box == incarnation
+                task.spec.long_running for task in tasks if task.box == incarnation
             )
             if not lasting:
                 continue
--- a/src/granitetrestle/platform/front.py
+++ b/src/granitetrestle/platform/front.py
@@ -296,7 +296,7 @@
         affinity=raw.affinity,
         per_box=raw.anti_affinity,
         speculative=raw.speculative,
-        lasting=raw.long_running,
+        long_running=raw.long_running,
         image=raw.image,
         target_ms=raw.target_ms,
         best_effort=raw.fills,
--- a/src/granitetrestle/progress.py
+++ b/src/granitetrestle/progress.py
@@ -49,7 +49,7 @@
         if row.how == "done":
             return effects + self._done(task, row, now)
         current = row.run == task.run and task.placed and task.box == incarnation
-        if row.how == "failed" and not task.spec.lasting:
+        if row.how == "failed" and not task.spec.long_running:
             # A successor is told again of ends that its predecessor wrote down, but
             # had not confirmed to the box yet.
             task.failed_runs |= {row.run}
@@ -70,7 +70,7 @@
 
     def _done(self, task: Task, row: EndedRun, now: float) -> list[Decision]:
         workflow = task.workflow
-        if task.spec.lasting:
+        if task.spec.long_running:
             if row.run == task.run and task.placed:
                 self.requeue(task, now)
             return []
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -39,7 +39,7 @@
 from .jobcalls import JobOutcome
 from .journal import Journal
 from .journal import NotKept
-from .lastingwaits import WaitCause
+from .longrunningwaits import WaitCause
 from .looplag import LoopLag
 from .mechanisms import Mechanism
 from .newestread import read_newest
@@ -135,7 +135,7 @@
         """Return what waits, and how far behind this process is."""
         entries = self._decider.state.waiting.values()
         waiting = waiting_tasks(entries, now)
-        causes = self._decider.lasting_waits.causes
+        causes = self._decider.long_running_waits.causes
         return {
             **{f"tasks_waiting_{kind}": float(n) for kind, n in waiting.items()},
             **{
--- a/src/granitetrestle/waitingorder.py
+++ b/src/granitetrestle/waitingorder.py
@@ -129,7 +129,7 @@
         kind = "short"
         if entry.spec.best_effort:
             kind = "fills"
-        elif entry.spec.lasting:
+        elif entry.spec.long_running:
             kind = "lasting"
         waiting[kind] += len(entry.tasks)
         if entry.suspects:
--- a/src/granitetrestle/workflows.py
+++ b/src/granitetrestle/workflows.py
@@ -67,7 +67,7 @@
     affinity: str = ""
     per_box: int = 0
     speculative: bool = False
-    lasting: bool = False
+    long_running: bool = False
     image: str = ""
     target_ms: float = 0.0
     best_effort: bool = False
--- a/src/granitetrestle_bench/deciding.py
+++ b/src/granitetrestle_bench/deciding.py
@@ -153,7 +153,7 @@
                 estimate_ms=int(kind.work_s * 1000),
                 depends_on=(number - 1,) if number else (),
                 checkpointing=kind.queue == "fill",
-                lasting=serving,
+                long_running=serving,
                 image="" if kind.queue == "short" else image,
                 target_ms=150.0 if serving else 0.0,
                 best_effort=kind.queue == "fill",
@@ -186,7 +186,7 @@
         task = self.decider.state.find_task(order.task)
         assert task is not None
         self.running[order.incarnation][order.task] = (order.run, task.spec)
-        if not task.spec.lasting:
+        if not task.spec.long_running:
             takes = task.spec.estimate_ms / 1000.0 * self.random.uniform(0.5, 1.5)
             end = (self.now + takes, order.incarnation, order.task, order.run)
             heapq.heappush(self.ends, end)
--- a/src/granitetrestle_bench/takeover.py
+++ b/src/granitetrestle_bench/takeover.py
@@ -156,7 +156,7 @@
             estimate_ms=int(kind.work_s * 1000),
             depends_on=(number - 1,) if number else (),
             checkpointing=kind.queue == "fill",
-            lasting=serving,
+            long_running=serving,
             image=f"{kind.queue}{self._random.randrange(30)}",
             target_ms=150.0 if serving else 0.0,
             best_effort=kind.queue == "fill",
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -384,7 +384,7 @@
 
     def _lasts(self, task: str) -> bool:
         """Say whether a task runs until its job is cancelled."""
-        return self._step(task).lasting
+        return self._step(task).long_running
 
     def check(self) -> None:
         """Judge what runs now and what began since the last look.
@@ -455,7 +455,7 @@
 
     def _cancel_lasting(self) -> None:
         for job, workflow in list(self.leader.decider.state.workflows.items()):
-            lasts = any(step.lasting for step in workflow.submission.steps)
+            lasts = any(step.long_running for step in workflow.submission.steps)
             if lasts and not workflow.terminal:
                 self.cancel(job)
 
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -96,7 +96,7 @@
         (
             (
                 "dispatch.py",
-                "if box is None and step.lasting and pool.aside",
+                "if box is None and step.long_running and pool.aside",
                 "if False",
             ),
         ),
