--- a/features/session_world.py
+++ b/features/session_world.py
@@ -19,7 +19,7 @@
 from granitetrestle.outside import Record
 from granitetrestle.session import Session
 from granitetrestle.session import Sources
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.succession import JOBS_TOPIC
 from granitetrestle.succession import take_over
 from granitetrestle.workflows import Step
@@ -30,7 +30,7 @@
 
 QUEUE = Queue("q", "host", "/q/", "pool", 0, 3, 1.5, 1000.0)
 CONFIG = Config(1, (QUEUE,), {"pool": True}, 262144)
-TERMS = DeciderTerms(lease_s=3.0, orphan_s=2.0, keep_s=60.0)
+TERMS = SchedulerParameters(lease_s=3.0, orphan_s=2.0, keep_s=60.0)
 # Longer than a decider without news waits before it confirms itself.
 TASK_S = 0.6
 TICK_S = 0.01
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -196,13 +196,13 @@
         if number % (boxes // busy) == 0:
             box.tasks["t"] = None
         before = context.budget.waiting
-        terms = context.budget.terms(box)
-        if terms.waits:
+        parameters = context.budget.parameters(box)
+        if parameters.waits:
             context.budget.began()
             if not box.tasks:
                 context.idle_waits.append(before)
         elif not box.tasks:
-            context.pauses.append(terms.pause_s)
+            context.pauses.append(parameters.pause_s)
         context.most = max(context.most, context.budget.waiting)
 
 
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -26,7 +26,7 @@
 from granitetrestle.outside import Queue
 from granitetrestle.outside import Record
 from granitetrestle.platform.front import decode_directive
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from granitetrestle_standins.shardworld import ShardWorld
@@ -315,7 +315,7 @@
 
     def __init__(self):
         self.now = 10.0
-        self.decider = Decider(DeciderTerms(), self.now)
+        self.decider = Decider(SchedulerParameters(), self.now)
         self.decider.configured(CONFIG)
         self.entries = {
             incarnation: BoxEntry(
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -32,7 +32,7 @@
 from granitetrestle.registry import LeaderEntry
 from granitetrestle.registry import NodeEntry
 from granitetrestle.registry import Registry
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle_standins.nativestore import MemoryStore
 from granitetrestle_standins.nativestore import StoreModel
 from granitetrestle_standins.shardworld import CONFIG
@@ -80,7 +80,7 @@
     """The list of boxes as a decider takes it up."""
 
     def __init__(self):
-        self.decider = Decider(DeciderTerms(), time.monotonic())
+        self.decider = Decider(SchedulerParameters(), time.monotonic())
         self.decider.configured(CONFIG)
         self.log = Lines()
         self.watched = []
@@ -235,7 +235,7 @@
         return False
     now, records = 100.0, []
     for _ in range(2):
-        decider = Decider(DeciderTerms(), now)
+        decider = Decider(SchedulerParameters(), now)
         decider.configured(CONFIG)
         decider.restore(records, now)
         box = BoxEntry(
--- a/features/steps/forwarded_steps.py
+++ b/features/steps/forwarded_steps.py
@@ -9,12 +9,12 @@
 from granitetrestle.messages import CallForwarded
 from granitetrestle.messages import Envelope
 from granitetrestle.node import Node
-from granitetrestle.node import NodeTerms
+from granitetrestle.node import NodeParameters
 from granitetrestle.nodelog import NodeLog
 from granitetrestle.nodemetrics import NodeMetrics
 from granitetrestle.registry import Registry
 from granitetrestle.session import Sources
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle_standins.nativestore import MemoryStore
 from granitetrestle_standins.nativestore import StoreModel
 
@@ -67,10 +67,12 @@
 def process_that_hears(context, heard):
     store = context.store = MemoryStore(StoreModel())
     sources = Sources(store, None, "c", "b", lambda r: None, lambda r: None)
-    terms = NodeTerms("n1", "n1-1", "h", "10.0.0.1", "10.0.0.1:1", 1.0, DeciderTerms())
+    parameters = NodeParameters(
+        "n1", "n1-1", "h", "10.0.0.1", "10.0.0.1:1", 1.0, SchedulerParameters()
+    )
     peers = context.peers = PlayedPeers(heard)
     log = NodeLog(descriptor=2)
-    return Node(terms, sources, context.responder, peers, log, NodeMetrics())
+    return Node(parameters, sources, context.responder, peers, log, NodeMetrics())
 
 
 @given("a decider whose answers take {seconds:g} seconds")
--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -28,7 +28,7 @@
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from granitetrestle_bench.deciding import measure_deciding
@@ -51,8 +51,11 @@
     def __init__(self, seed):
         self.random = random.Random(seed)
         self.now = 50.0
-        off = DeciderTerms(off=frozenset({Mechanism.INDEX}))
-        self.deciders = [Decider(DeciderTerms(), self.now), Decider(off, self.now)]
+        off = SchedulerParameters(off=frozenset({Mechanism.INDEX}))
+        self.deciders = [
+            Decider(SchedulerParameters(), self.now),
+            Decider(off, self.now),
+        ]
         self.entries = {}
         self.running = {}
         self.ended = {}
@@ -292,7 +295,7 @@
 
 @given("a box of 8 GB on which work that fills waits for 1.6 seconds for quiet")
 def waits_for_quiet(context):
-    decider = context.decider = Decider(DeciderTerms(), 50.0)
+    decider = context.decider = Decider(SchedulerParameters(), 50.0)
     decider.configured(Config(1, QUEUES, {"pool": True}, 262144))
     decider.evacuation.all_ordered([], (), 50.0)
     decider.evacuation.heard(50.0)
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -13,7 +13,7 @@
 from granitetrestle.outside import BoxNoAnswer
 from granitetrestle.outside import EndedRun
 from granitetrestle.outside import HallDirective
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import Step
 
 LARGE = Step(count=30, cpu=1000, memory_mb=100_000, long_running=True)
@@ -51,7 +51,7 @@
 def wait_for_predecessor(desk):
     desk.submit("job", ONE)
     records = desk.decider.take_writes()
-    desk.decider = Decider(DeciderTerms(), desk.now)
+    desk.decider = Decider(SchedulerParameters(), desk.now)
     desk.decider.configured(CONFIG)
     desk.take(desk.decider.restore(records, desk.now))
 
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -24,7 +24,7 @@
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.waitingorder import waiting_tasks
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -79,8 +79,8 @@
 
     def __init__(self, boxes, *off):
         self.now = 100.0
-        terms = DeciderTerms(keep_s=600.0, off=frozenset(off))
-        self.decider = Decider(terms, self.now)
+        parameters = SchedulerParameters(keep_s=600.0, off=frozenset(off))
+        self.decider = Decider(parameters, self.now)
         queue = Queue("q", "h", "/q/", "pool", 0, 3, 2.0, 1000.0)
         self.decider.configured(Config(1, (queue,), {}, 1000))
         incarnations = [f"b{number:02}" for number in range(boxes)]
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -3,7 +3,7 @@
 from behave import then
 from behave import when
 
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from lasting_task import lasting_task
 
 
@@ -35,7 +35,7 @@
     context.dark, context.since = task.box, world.now
     del world.entries[task.box]
     world.kill()
-    world.terms = DeciderTerms(lease_s=6.0, orphan_s=8.0, keep_s=600.0)
+    world.parameters = SchedulerParameters(lease_s=6.0, orphan_s=8.0, keep_s=600.0)
     world.advance(0.9)
     world.take_over()
 
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -170,7 +170,7 @@
 def record_bytes(submission):
     """Return how long a job's record is in a call, as the store counts it: the length of
     its key (1 byte), the key, the value."""
-    decider = Decider(ShardWorld(1, 0).terms, 0.0)
+    decider = Decider(ShardWorld(1, 0).parameters, 0.0)
     decider.called("r", SubmitJob(submission), 0.0)
     (record,) = decider.take_writes()
     return 1 + len(record.key) + len(record.value)
@@ -220,7 +220,7 @@
 @given("{count:d} boxes alike, of which advice names {which} as good for a step")
 def advised_boxes(context, count, which):
     world = ShardWorld(1, count)
-    decider = context.decider = Decider(world.terms, 0.0)
+    decider = context.decider = Decider(world.parameters, 0.0)
     queue = CONFIG.queues[0]._replace(advised=True)
     decider.configured(CONFIG._replace(queues=(queue,)))
     decider.evacuation.all_ordered([], (), 0.0)
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -27,7 +27,7 @@
 from granitetrestle.platform.store import PlatformStore
 from granitetrestle.session import Session
 from granitetrestle.session import Sources
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.statemark import Marks
 from granitetrestle.statemark import Taken
 from granitetrestle.succession import JOBS_TOPIC
@@ -210,7 +210,7 @@
     async def run():
         taken = await take_over(store, 1, "this life")
         session = context.session = Session(
-            sources, taken, DeciderTerms(), context.log, NodeMetrics()
+            sources, taken, SchedulerParameters(), context.log, NodeMetrics()
         )
         with anyio.fail_after(LONGEST_S):
             async with anyio.create_task_group() as tasks:
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -24,7 +24,7 @@
 from granitetrestle.pacing import pace_changes
 from granitetrestle.pollbudget import PollBudget
 from granitetrestle.serviceload import StepLoad
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import RUNNING
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -206,7 +206,7 @@
 @when("thirty stops are ordered together")
 def thirty_stops(context):
     async def wave():
-        decider = Decider(DeciderTerms(), 0.0)
+        decider = Decider(SchedulerParameters(), 0.0)
         keeper = BoxKeeper(
             "b1",
             "a",
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -13,7 +13,7 @@
 from granitetrestle.jobrecords import GROUP_SIZE
 from granitetrestle.outside import Record
 from granitetrestle.outside import Writer
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import DONE
 from granitetrestle.workflows import RUNNING
 from granitetrestle.workflows import Step
@@ -25,7 +25,7 @@
 def written_bytes(count):
     """Bytes for a job whose tasks run one after the other on one box."""
     load = Load(1, 1)
-    load.decider = Decider(DeciderTerms(), load.now)
+    load.decider = Decider(SchedulerParameters(), load.now)
     total = 0
     decider = load.decider
     load.__init__(1, 1)
@@ -165,7 +165,7 @@
     context.ran_before = starts(context)
     context.noted = []
     # What a session logs of a take-over.
-    restored = Decider(DeciderTerms(), world.now).restore(
+    restored = Decider(SchedulerParameters(), world.now).restore(
         world.store.newest(JOBS).records, world.now
     )
     context.noted = [note for note in restored if isinstance(note, Noted)]
@@ -254,7 +254,7 @@
     records = leader.decider.take_writes()
     world.store.append(JOBS, records, Writer(leader.epoch, leader.sequence + 1))
     world.kill()
-    restored = context.successor = Decider(DeciderTerms(), world.now)
+    restored = context.successor = Decider(SchedulerParameters(), world.now)
     restored.restore(world.store.newest(JOBS).records, world.now)
 
 
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -31,7 +31,7 @@
 from granitetrestle.overload import bearable_stretch
 from granitetrestle.progress import Progress
 from granitetrestle.serviceload import MEAN_BUSY
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.tasktimes import PHASES
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -50,7 +50,7 @@
 
     def __init__(self, boxes, off=frozenset()):
         self.now = 10.0
-        self.decider = Decider(DeciderTerms(off=off), self.now)
+        self.decider = Decider(SchedulerParameters(off=off), self.now)
         self.decider.configured(CONFIG)
         self.entries = {
             f"b{number}": BoxEntry(
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -166,7 +166,7 @@
 @when("a job of a queue under advice is handed in, and one box is named as good")
 def under_advice(context):
     world = context.world
-    decider = context.decider = Decider(world.terms, 0.0)
+    decider = context.decider = Decider(world.parameters, 0.0)
     queue = CONFIG.queues[0]._replace(advised=True)
     decider.configured(CONFIG._replace(queues=(queue,)))
     decider.fleet.listed(world.entries, 0.0)
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -32,7 +32,7 @@
 from granitetrestle.platform.store import PlatformStore
 from granitetrestle.right import JournalRight
 from granitetrestle.session import Session
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 
 ANSWER = b'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{"end":1}'
 
@@ -242,7 +242,7 @@
             self._over = False
             self._operators = self
             self._journal = self
-            self._right = JournalRight(self, DeciderTerms().orphan_s, LoopLag())
+            self._right = JournalRight(self, SchedulerParameters().orphan_s, LoopLag())
             self._come_back = SteadyReturns()
 
         config = CONFIG
@@ -438,8 +438,8 @@
         def __init__(self):
             self._over = False
             self._journal = self
-            self._terms = DeciderTerms()
-            self._right = JournalRight(self, self._terms.orphan_s, LoopLag())
+            self._parameters = SchedulerParameters()
+            self._right = JournalRight(self, self._parameters.orphan_s, LoopLag())
             self.nudged = 0
 
         class status:
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -19,7 +19,7 @@
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.shardstate import WaitingStep
 from granitetrestle.waitingorder import ByUrgency
 from granitetrestle.workflows import Step
@@ -41,8 +41,8 @@
 
     def __init__(self, boxes, load, off):
         self.now = 100.0
-        terms = DeciderTerms(keep_s=600.0, off=frozenset(off))
-        self.decider = Decider(terms, self.now)
+        parameters = SchedulerParameters(keep_s=600.0, off=frozenset(off))
+        self.decider = Decider(parameters, self.now)
         queue = Queue("q", "h", "/q/", "pool", 0, 3, STRETCH, TARGET_S * 1000.0)
         self.decider.configured(Config(1, (queue,), {}, 1000))
         incarnations = [f"b{number:02}" for number in range(boxes)]
--- a/src/granitetrestle/borrowing.py
+++ b/src/granitetrestle/borrowing.py
@@ -7,7 +7,7 @@
 
 from .events import Effect
 from .events import SendPeer
-from .lending import LendingTerms
+from .lending import LendingParameters
 from .messages import Loan
 from .messages import LoansGranted
 from .messages import LoansHeld
@@ -61,8 +61,8 @@
 class Borrower:
     """All loans of this process."""
 
-    def __init__(self, terms: LendingTerms) -> None:
-        self._terms = terms
+    def __init__(self, parameters: LendingParameters) -> None:
+        self._parameters = parameters
         self._shards: dict[int, _ShardLoans] = {}
         self._shard_of: dict[str, int] = {}
         self._endpoints: dict[str, Borrowed] = {}
@@ -131,7 +131,7 @@
         state = self._shards.get(shard)
         if state is None or epoch != state.epoch:
             return True
-        wait_s = self._terms.ask_blind_s if blind else self._terms.ask_s
+        wait_s = self._parameters.ask_blind_s if blind else self._parameters.ask_s
         return now - state.asked_at >= wait_s
 
     def _held(self, shard: int, now: float) -> dict[str, int]:
--- a/src/granitetrestle/boxlife.py
+++ b/src/granitetrestle/boxlife.py
@@ -103,7 +103,7 @@
 
     async def _poll_on(self) -> None:
         failures = 0
-        while (terms := await self._poll()) is not None:
+        while (parameters := await self._poll()) is not None:
             box = self._decider.state.boxes.get(self._incarnation)
             if box is None:
                 return
@@ -116,22 +116,22 @@
                 with anyio.move_on_after(DURABLE_WAIT_S):
                     await self._durable.wait()
             self._durable = anyio.Event()
-            await self._pause(terms)
+            await self._pause(parameters)
             await self._give_way()
 
-    async def _pause(self, terms: PollParameters) -> None:
+    async def _pause(self, parameters: PollParameters) -> None:
         """Ask nothing for a while; a box that gets work is looked at again at once, also
         if it came while the last look was under way: its lease must not lapse."""
-        if not terms.pause_s:
+        if not parameters.pause_s:
             return
         box = self._decider.state.boxes.get(self._incarnation)
         busy = box is not None and bool(box.tasks)
-        if busy and terms.idle:
+        if busy and parameters.idle:
             return
         self._work_came = anyio.Event()
-        with anyio.move_on_after(terms.pause_s):
+        with anyio.move_on_after(parameters.pause_s):
             if busy:
-                await anyio.sleep(terms.pause_s)
+                await anyio.sleep(parameters.pause_s)
             else:
                 await self._work_came.wait()
 
@@ -149,8 +149,8 @@
             return None
         kind = self._budget.opening_kind(box)
         if kind is None:
-            terms = self._budget.terms(box)
-            return terms if await self._poll_once(terms.waits) else None
+            parameters = self._budget.parameters(box)
+            return parameters if await self._poll_once(parameters.waits) else None
         async with self._budget.opening.turn(kind, self._incarnation) as turn:
             if not await self._poll_once(waits=False):
                 return None
--- a/src/granitetrestle/daemon.py
+++ b/src/granitetrestle/daemon.py
@@ -16,8 +16,8 @@
 from .embedded import EmbeddedServer
 from .engine import Engine
 from .errors import SettingsError
-from .ownership import OwnershipTerms
-from .placementterms import PlacementTerms
+from .ownership import OwnershipParameters
+from .placementparameters import PlacementParameters
 from .reducer import Reducer
 from .reducer import Setup
 from .settings import Settings
@@ -42,8 +42,8 @@
         hall=settings.hall,
         halls=halls,
         shards=settings.shards,
-        ownership=OwnershipTerms(term_s=settings.term_s),
-        placement=PlacementTerms(
+        ownership=OwnershipParameters(term_s=settings.term_s),
+        placement=PlacementParameters(
             lease_s=settings.lease_s, exchange_s=settings.exchange_s
         ),
     )
--- a/src/granitetrestle/decider.py
+++ b/src/granitetrestle/decider.py
@@ -40,7 +40,7 @@
 from .outside import Record
 from .packing import Packer
 from .progress import Progress
-from .shardstate import DeciderTerms
+from .shardstate import SchedulerParameters
 from .shardstate import ShardState
 from .slices import Steps
 from .slices import in_one_go
@@ -68,9 +68,9 @@
     """State of one shard and its step functions."""
 
     def __init__(
-        self, terms: DeciderTerms, now: float, packer: Packer | None = None
+        self, parameters: SchedulerParameters, now: float, packer: Packer | None = None
     ) -> None:
-        self._state = ShardState(terms)
+        self._state = ShardState(parameters)
         self._progress = Progress(self._state)
         self._fleet = Fleet(self._state, self._progress, now)
         self._dispatcher = Dispatcher(self._state, self._progress, packer, now)
@@ -226,7 +226,7 @@
         return effects + self._dispatcher.place(now, wall_ms, most_starts)
 
     def _sweep(self, now: float) -> None:
-        keep = self._state.terms.keep_s
+        keep = self._state.parameters.keep_s
         for job, workflow in list(self._state.workflows.items()):
             if not workflow.terminal:
                 continue
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -73,11 +73,11 @@
     def __init__(self, state: ShardState, progress: Progress, now: float) -> None:
         self._state = state
         self._progress = progress
-        terms = state.terms
+        parameters = state.parameters
         # Until we have looked at a box, a predecessor may have renewed its leases.
-        self._inherited_ends = now + terms.orphan_s + terms.lease_bound_s
+        self._inherited_ends = now + parameters.orphan_s + parameters.lease_bound_s
         # Unless the predecessor had ceased to, and written that down.
-        self._withdrawn_ends = now + terms.lease_bound_s
+        self._withdrawn_ends = now + parameters.lease_bound_s
         # Lives that are listed still and have ended for certain.
         self._ended: set[str] = set()
         self._losses = Losses()
@@ -270,10 +270,10 @@
             return None
         if box.incarnation in self._state.withdrawn_leases or _is_long_silent(box, now):
             return None
-        terms = self._state.terms
-        box.lease_ends = max(box.lease_ends, now + terms.lease_bound_s)
+        parameters = self._state.parameters
+        box.lease_ends = max(box.lease_ends, now + parameters.lease_bound_s)
         elapsed = now - box.clock_at
-        return box.clock_ms + int((elapsed + terms.lease_s) * 1000)
+        return box.clock_ms + int((elapsed + parameters.lease_s) * 1000)
 
     def poll_answered(
         self, incarnation: str, sent: float, now: float, outcome: PollOutcome
@@ -343,7 +343,7 @@
             box.adopted = True
             # It refuses a predecessor's leases from here on, and none that it has is
             # longer: its tasks need not wait for what that one may still have renewed.
-            lease_ends = now + self._state.terms.lease_bound_s
+            lease_ends = now + self._state.parameters.lease_bound_s
             box.lease_ends = min(box.lease_ends, lease_ends)
             inputs = {
                 "running": len(poll.running),
--- a/src/granitetrestle/intake.py
+++ b/src/granitetrestle/intake.py
@@ -16,7 +16,7 @@
 from .outcomes import Reason
 from .outcomes import Rejected
 from .placement import Placement
-from .placementterms import shard_of
+from .placementparameters import shard_of
 from .records import BoxDrained
 from .records import HallEvacuated
 from .records import JobCancelled
--- a/src/granitetrestle/lending.py
+++ b/src/granitetrestle/lending.py
@@ -12,10 +12,10 @@
 from .messages import LoansGranted
 from .messages import LoansHeld
 
-__all__ = ["Lendable", "Lender", "LendingTerms"]
+__all__ = ["Lendable", "Lender", "LendingParameters"]
 
 
-class LendingTerms(t.NamedTuple):
+class LendingParameters(t.NamedTuple):
     """Durations in seconds.
 
     :param loan_s: how long a loan holds after the borrower asked.
@@ -81,13 +81,13 @@
         epoch: int,
         nodes: t.Collection[str],
         locked_until: float,
-        terms: LendingTerms,
+        parameters: LendingParameters,
     ) -> None:
         self._shard = shard
         self._epoch = epoch
         self._unreported = set(nodes)
         self._locked_until = locked_until
-        self._terms = terms
+        self._parameters = parameters
         self._lendable: dict[str, Lendable] = {}
         self._borrowers: dict[tuple[str, str], _Borrower] = {}
 
@@ -102,7 +102,7 @@
 
     def older_owner_gone(self, now: float) -> None:
         """Shorten the lock: nobody renews older loans any more."""
-        self._locked_until = min(self._locked_until, now + self._terms.loan_s)
+        self._locked_until = min(self._locked_until, now + self._parameters.loan_s)
 
     def outstanding(self, endpoint: str, now: float) -> int:
         """Return the slots of ``endpoint`` that borrowers may be using."""
@@ -144,7 +144,7 @@
             self._epoch,
             grant.serial,
             message.number,
-            self._terms.loan_s,
+            self._parameters.loan_s,
             complete,
             loans,
         )
@@ -156,7 +156,7 @@
             if (slots := self._countable(borrower, name, reported, now))
         }
         borrower.held = held
-        borrower.held_until = now + self._terms.loan_s
+        borrower.held_until = now + self._parameters.loan_s
         borrower.number = message.number
         borrower.asked_at = now
         borrower.demand = message.demand
@@ -204,10 +204,10 @@
             )
             if slots > 0:
                 loans[name] = slots
-        return _Grant(borrower.serial, now + self._terms.loan_s, loans)
+        return _Grant(borrower.serial, now + self._parameters.loan_s, loans)
 
     def _active(self, now: float) -> list[_Borrower]:
-        fresh = now - self._terms.loan_s
+        fresh = now - self._parameters.loan_s
         return [
             borrower
             for _, borrower in sorted(self._borrowers.items())
@@ -243,7 +243,7 @@
 
     def forget_silent(self, now: float) -> None:
         """Drop borrowers whose every loan has lapsed."""
-        limit = now - 2 * self._terms.loan_s
+        limit = now - 2 * self._parameters.loan_s
         for key, borrower in list(self._borrowers.items()):
             if borrower.asked_at < limit:
                 del self._borrowers[key]
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -34,11 +34,11 @@
 from .reports import Reports
 from .session import Session
 from .session import Sources
-from .shardstate import DeciderTerms
+from .shardstate import SchedulerParameters
 from .statemark import Taken
 from .succession import take_over
 
-__all__ = ["Node", "NodeTerms", "Responder"]
+__all__ = ["Node", "NodeParameters", "Responder"]
 
 # A suspension of the machine from which on it is noted; the two clocks that tell it are
 # read a moment apart.
@@ -77,7 +77,7 @@
         """
 
 
-class NodeTerms(t.NamedTuple):
+class NodeParameters(t.NamedTuple):
     """What a process is told at its start.
 
     :param address: IP:PORT for its peers.
@@ -90,7 +90,7 @@
     ip: str
     address: str
     cores: float
-    decider: DeciderTerms
+    decider: SchedulerParameters
 
 
 class Node:
@@ -98,14 +98,14 @@
 
     def __init__(
         self,
-        terms: NodeTerms,
+        parameters: NodeParameters,
         sources: Sources,
         responder: Responder,
         peers: PeerLink,
         log: NodeLog,
         metrics: NodeMetrics,
     ) -> None:
-        self._terms = terms
+        self._parameters = parameters
         self._sources = sources
         self._responder = responder
         self._peers = peers
@@ -113,8 +113,10 @@
         self._log = log
         self._metrics = metrics
         self._registry = Registry(sources.store)
-        jitter = (sum(map(ord, terms.incarnation)) % 100) / 100.0
-        me = Member(terms.node, terms.address, terms.hall, terms.cores)
+        jitter = (sum(map(ord, parameters.incarnation)) % 100) / 100.0
+        me = Member(
+            parameters.node, parameters.address, parameters.hall, parameters.cores
+        )
         self._reports = Reports(me, time.monotonic(), jitter)
         self._leadership = self._reports.leadership
         self._membership = self._reports.membership
@@ -136,7 +138,7 @@
         self._taking_over = False
         self._requests = itertools.count(1)
         self._forwarding = Forwarding(
-            terms.node, terms.address, self._send, self._answer_here
+            parameters.node, parameters.address, self._send, self._answer_here
         )
 
     @property
@@ -167,7 +169,7 @@
         """Return who can answer requests now, or nothing."""
         now = time.monotonic()
         if self._session is not None:
-            return self._terms.node if self._serving else ""
+            return self._parameters.node if self._serving else ""
         if self._leadership.leader_silent(now):
             return ""
         return self._leadership.leader
@@ -191,7 +193,7 @@
         session = self._session
         if session is None or not self._serving:
             raise Deposed
-        request = f"{self._terms.node}/{next(self._requests)}"
+        request = f"{self._parameters.node}/{next(self._requests)}"
         return await self._responder.answer(session, request, call)
 
     def _send(self, node: str, message: Message) -> bool:
@@ -208,7 +210,9 @@
 
     async def _register(self) -> None:
         """Learn of the other processes, and let them learn of this one."""
-        entry = NodeEntry(self._terms.address, self._terms.hall, self._terms.cores)
+        entry = NodeEntry(
+            self._parameters.address, self._parameters.hall, self._parameters.cores
+        )
         while not self._registered:
             known = await self._registry.read()
             if isinstance(known, StoreUnavailable):
@@ -216,8 +220,8 @@
                 continue
             self._take_registry(known)
             self._beat.still_s(known)
-            if known.nodes.get(self._terms.node) != entry:
-                written = await self._registry.enter(self._terms.node, entry)
+            if known.nodes.get(self._parameters.node) != entry:
+                written = await self._registry.enter(self._parameters.node, entry)
                 if not written:
                     await anyio.sleep(TICK_S * 2)
                     continue
@@ -340,7 +344,7 @@
 
     def _consider_handing_over(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
         """Let a process on a much larger box decide."""
-        better = self._leadership.better_decider(now, self._terms.cores)
+        better = self._leadership.better_decider(now, self._parameters.cores)
         if better and self._session is not None and not self._session.store_away:
             tasks.start_soon(self._hand_over, better, DRAIN_S)
 
@@ -422,8 +426,8 @@
         epochs = (known.leader.epoch, self._leadership.epoch, self._refused_epoch)
         previous = max(epochs)
         for _ in range(CATCH_UP_EPOCHS):
-            epoch = next_epoch(previous, self._terms.ip)
-            incarnation = self._terms.incarnation
+            epoch = next_epoch(previous, self._parameters.ip)
+            incarnation = self._parameters.incarnation
             outcome = await take_over(self._sources.store, epoch, incarnation)
             if isinstance(outcome, StoreUnavailable):
                 self._log.event("take_over_failed", reason=outcome.reason)
@@ -437,7 +441,7 @@
 
     async def _lead(self, taken: Taken) -> None:
         session = Session(
-            self._sources, taken, self._terms.decider, self._log, self._metrics
+            self._sources, taken, self._parameters.decider, self._log, self._metrics
         )
         self._session = session
         with anyio.CancelScope() as scope:
@@ -460,7 +464,7 @@
     async def _beat_loop(self, epoch: int) -> None:
         """Show in the store that this epoch's decider is alive."""
         for beat in itertools.count(1):
-            await self._registry.beat(epoch, self._terms.node, beat)
+            await self._registry.beat(epoch, self._parameters.node, beat)
             await anyio.sleep(BEAT_EVERY_S)
 
     async def stop(self, grace_s: float) -> None:
--- a/src/granitetrestle/ownership.py
+++ b/src/granitetrestle/ownership.py
@@ -11,10 +11,10 @@
 from .records import ShardClaimed
 from .records import ShardReleased
 
-__all__ = ["Ownership", "OwnershipTerms", "Member", "ShardState"]
+__all__ = ["Ownership", "OwnershipParameters", "Member", "ShardState"]
 
 
-class OwnershipTerms(t.NamedTuple):
+class OwnershipParameters(t.NamedTuple):
     """Durations in seconds.
 
     :param term_s: how long a read-back renewal lets an owner start work.
@@ -74,11 +74,11 @@
         incarnation: str,
         shards: int,
         nodes: t.Collection[str],
-        terms: OwnershipTerms,
+        parameters: OwnershipParameters,
     ) -> None:
         self._node = node
         self._incarnation = incarnation
-        self._terms = terms
+        self._parameters = parameters
         self._shards = {number: ShardState() for number in range(shards)}
         self._members: dict[str, Member] = {}
         self._sent: dict[int, float] = {}
@@ -117,7 +117,7 @@
         Silence counts only while reads succeed: an outage of the platform
         must not look like the death of every owner.
         """
-        if now - self._tail_read_at > self._terms.term_s / 2:
+        if now - self._tail_read_at > self._parameters.term_s / 2:
             self._tail_since = now
         self._tail_read_at = now
 
@@ -175,8 +175,10 @@
             return now
         member = self._members.get(previous.holder)
         if member is None or member.beat.incarnation != previous.holder_incarnation:
-            return now + self._terms.term_s + self._terms.margin_s
-        return max(now, member.heard_at + self._terms.term_s + self._terms.margin_s)
+            return now + self._parameters.term_s + self._parameters.margin_s
+        return max(
+            now, member.heard_at + self._parameters.term_s + self._parameters.margin_s
+        )
 
     def apply_released(self, offset: int, fact: ShardReleased) -> bool:
         """Apply a release; returns whether it counted."""
@@ -198,7 +200,7 @@
 
     def term_ends(self) -> float:
         """Return when this process's own term ends (monotonic seconds)."""
-        return self._renewed_from + self._terms.term_s
+        return self._renewed_from + self._parameters.term_s
 
     def may_start(self, shard: int, now: float) -> bool:
         """Say whether this process may start new work in ``shard`` now."""
@@ -224,7 +226,7 @@
         if not others <= support.keys():
             return -1e18
         since = min((support[node] for node in others), default=-1e18)
-        return since + self._terms.promise_s - self._terms.margin_s
+        return since + self._parameters.promise_s - self._parameters.margin_s
 
     def supported(self, shard: int, node: str, since: float) -> None:
         """Note a member's promise, made no earlier than ``since``."""
@@ -233,7 +235,7 @@
 
     def blind(self, now: float) -> bool:
         """Say whether the log's tail was not read for a while."""
-        return now - self._tail_read_at > self._terms.support_s
+        return now - self._tail_read_at > self._parameters.support_s
 
     def promise(self, shard: int, now: float) -> bool:
         """Decide whether to support the owner of ``shard``; remember if so.
@@ -245,7 +247,7 @@
         member = self._members.get(state.holder)
         heard = member is not None and (
             member.beat.incarnation == state.holder_incarnation
-            and now - member.heard_at < self._terms.support_s
+            and now - member.heard_at < self._parameters.support_s
         )
         if not self.blind(now) and not heard:
             return False
@@ -268,7 +270,7 @@
 
     def live(self, now: float) -> list[str]:
         """Return the members heard within a term, sorted; for choosing only."""
-        limit = self._terms.term_s + self._terms.margin_s
+        limit = self._parameters.term_s + self._parameters.margin_s
         return sorted(
             name
             for name, member in self._members.items()
@@ -298,9 +300,9 @@
         shard = self._shards[number]
         if shard.released:
             return True
-        if now < self._promised.get(number, -1e18) + self._terms.promise_s:
+        if now < self._promised.get(number, -1e18) + self._parameters.promise_s:
             return False
-        limit = self._terms.term_s + self._terms.margin_s
+        limit = self._parameters.term_s + self._parameters.margin_s
         if now - self._tail_read_at > limit or now - self._tail_since < limit:
             return False
         member = self._members.get(shard.holder)
@@ -327,7 +329,7 @@
     def forget_old(self, now: float) -> None:
         """Drop members that have been silent for long."""
         for name, member in list(self._members.items()):
-            if now - member.heard_at > self._terms.forget_s:
+            if now - member.heard_at > self._parameters.forget_s:
                 del self._members[name]
 
     def restore(self, shards: t.Mapping[int, ShardState]) -> None:
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -24,8 +24,8 @@
 from .jobs import Task
 from .ownership import Ownership
 from .ownership import ShardState
-from .placementterms import PlacementTerms
-from .placementterms import shard_of
+from .placementparameters import PlacementParameters
+from .placementparameters import shard_of
 from .records import AttemptEnded
 from .records import Ending
 
@@ -49,13 +49,13 @@
         self,
         stream: str,
         shards: int,
-        terms: PlacementTerms,
+        parameters: PlacementParameters,
         jobs: Jobs,
         ownership: Ownership,
     ) -> None:
         self._stream = stream
         self._shards = shards
-        self._terms = terms
+        self._parameters = parameters
         self._jobs = jobs
         self._ownership = ownership
         self._books: dict[int, ShardBook] = {}
@@ -96,9 +96,11 @@
         state = self._ownership.shards[shard]
         quiet = self._ownership.quiet_from(shard) - now + wall
         if before.epoch:
-            quiet += self._terms.clock_margin_s
-        orphan = 0.0 if before.released else self._terms.orphan_s
-        ends = quiet + orphan + self._terms.lease_s + self._terms.clock_margin_s
+            quiet += self._parameters.clock_margin_s
+        orphan = 0.0 if before.released else self._parameters.orphan_s
+        ends = (
+            quiet + orphan + self._parameters.lease_s + self._parameters.clock_margin_s
+        )
         book = ShardBook(shard, state.epoch, quiet, ends)
         book.evacuated = self._evacuated
         self._books[shard] = book
@@ -260,10 +262,10 @@
         commands = list(box.cleanup.values())
         box.cleanup.clear()
         commands += self._starts(book, box, now, wall)
-        if now < self._ownership.term_ends() + self._terms.orphan_s:
+        if now < self._ownership.term_ends() + self._parameters.orphan_s:
             commands += self._renewals(book, box, wall)
         box.in_exchange = True
-        box.next_exchange = now + self._terms.exchange_s
+        box.next_exchange = now + self._parameters.exchange_s
         return CommandBox(box.info.box, box.info.address, tuple(commands))
 
     def _starts(
@@ -277,11 +279,11 @@
             for assignment in starts.values():
                 self._start_unsent(book, assignment)
             return []
-        not_after = wall + min(self._terms.start_window_s, left)
+        not_after = wall + min(self._parameters.start_window_s, left)
         commands = []
         for assignment in starts.values():
             assignment.not_after = not_after
-            assignment.expires = not_after + self._terms.lease_s
+            assignment.expires = not_after + self._parameters.lease_s
             commands.append(self._start_command(assignment))
         return commands
 
@@ -306,7 +308,7 @@
 
     def _renewals(self, book: ShardBook, box: BoxState, wall: float) -> list[Command]:
         commands: list[Command] = []
-        expires = wall + self._terms.lease_s
+        expires = wall + self._parameters.lease_s
         for assignment in box.tasks.values():
             if assignment.state in ("starting", "ending"):
                 continue
@@ -402,7 +404,7 @@
             box.info.box,
             "stopping" if job.cancelled else "running",
             not_after=0.0,
-            expires=wall + self._terms.lease_s,
+            expires=wall + self._parameters.lease_s,
             reason="adopted from the box's report",
         )
         book.book(box, assignment, adopted=True)
@@ -427,7 +429,7 @@
             if assignment.state == "stopping":
                 ending = assignment.stop_reason
             return [self._record_end(book, assignment, ending)]
-        dead_on_arrival = assignment.not_after + self._terms.clock_margin_s
+        dead_on_arrival = assignment.not_after + self._parameters.clock_margin_s
         if assignment.not_after and sent_wall > dead_on_arrival:
             self._start_unsent(book, assignment)
         return []
@@ -484,4 +486,4 @@
         """
         if assignment.state == "ending" or assignment.expires == 0.0:
             return False
-        return box.silent_wall > assignment.expires + self._terms.clock_margin_s
+        return box.silent_wall > assignment.expires + self._parameters.clock_margin_s
--- a/src/granitetrestle/placementterms.py
+++ b/src/granitetrestle/placementparameters.py
@@ -3,10 +3,10 @@
 import typing as t
 import zlib
 
-__all__ = ["PlacementTerms", "shard_of"]
+__all__ = ["PlacementParameters", "shard_of"]
 
 
-class PlacementTerms(t.NamedTuple):
+class PlacementParameters(t.NamedTuple):
     """Durations in seconds.
 
     :param lease_s: how long a box runs a task without a renewal.
--- a/src/granitetrestle/platform/process.py
+++ b/src/granitetrestle/platform/process.py
@@ -14,13 +14,13 @@
 from ..embedded import EmbeddedServer
 from ..mechanisms import Mechanism
 from ..node import Node
-from ..node import NodeTerms
+from ..node import NodeParameters
 from ..nodelog import NodeLog
 from ..nodemetrics import NodeMetrics
 from ..peerlink import PeerLink
 from ..session import Sources
 from ..settings import Address
-from ..shardstate import DeciderTerms
+from ..shardstate import SchedulerParameters
 from . import front
 from .advice import PlatformAdvisor
 from .boxes import PlatformBoxes
@@ -78,14 +78,14 @@
 ) -> Node:
     address = f"{settings.ip}:{settings.ports[0]}"
     incarnation = f"{settings.node}-{uuid.uuid4().hex[:8]}"
-    terms = NodeTerms(
+    parameters = NodeParameters(
         node=settings.node,
         incarnation=incarnation,
         hall=settings.hall,
         ip=settings.ip,
         address=address,
         cores=settings.cores,
-        decider=DeciderTerms(
+        decider=SchedulerParameters(
             lease_s=settings.hold_max_s,
             keep_s=settings.status_s * 1.25,
             connections=settings.max_files - FILES_RESERVED,
@@ -96,7 +96,7 @@
     peers = PeerLink(settings.node, incarnation, PEER_TOKEN, address)
     sources = _sources(settings, caller)
     responder = FrontResponder(settings.record_bytes)
-    return Node(terms, sources, responder, peers, log, metrics)
+    return Node(parameters, sources, responder, peers, log, metrics)
 
 
 def _listen(address: Address) -> socket.socket:
--- a/src/granitetrestle/pollbudget.py
+++ b/src/granitetrestle/pollbudget.py
@@ -97,7 +97,7 @@
             return None
         return FIRST if box.tasks else SHORT
 
-    def terms(self, box: BoxView) -> PollParameters:
+    def parameters(self, box: BoxView) -> PollParameters:
         """Return how the next look at an adopted box is made."""
         part = BUSY_PART if box.tasks else IDLE_PART
         if self._waiting < part * self._connections:
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -34,7 +34,7 @@
 from .messages import NodeStatus
 from .outcomes import Accepted
 from .ownership import Ownership
-from .placementterms import shard_of
+from .placementparameters import shard_of
 from .policy import Policy
 from .policy import RackSpread
 from .records import AttemptEnded
--- a/src/granitetrestle/requests.py
+++ b/src/granitetrestle/requests.py
@@ -31,7 +31,7 @@
 from .ownership import Ownership
 from .table import Table
 
-__all__ = ["RequestTerms", "Requests"]
+__all__ = ["RequestParameters", "Requests"]
 
 RETRY_SHARE = 0.1
 RETRY_BURST = 20.0
@@ -44,7 +44,7 @@
 PEER_SHARE = 0.9
 
 
-class RequestTerms(t.NamedTuple):
+class RequestParameters(t.NamedTuple):
     """Limits on requests at one entry process.
 
     :param max_request_s: longest deadline in seconds; below the loans' term.
@@ -75,7 +75,7 @@
         hall: str,
         hall_names: t.Sequence[str],
         shards: int,
-        terms: RequestTerms,
+        parameters: RequestParameters,
         table: Table,
         ownership: Ownership,
         borrower: Borrower,
@@ -84,7 +84,7 @@
         self._hall = hall
         self._hall_names = tuple(hall_names)
         self._shards = shards
-        self._terms = terms
+        self._parameters = parameters
         self._table = table
         self._ownership = ownership
         self._borrower = borrower
@@ -249,7 +249,10 @@
             return self._finish(
                 pending, NotRun(Reason.ACCOUNT_LIMIT, _retry_after(wait_s))
             )
-        if now + wait_s > event.deadline or self._waiting >= self._terms.max_waiting:
+        if (
+            now + wait_s > event.deadline
+            or self._waiting >= self._parameters.max_waiting
+        ):
             return self._finish(
                 pending, NotRun(Reason.OVERLOADED, _retry_after(wait_s))
             )
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -53,7 +53,7 @@
 from .outside import Record
 from .pollbudget import PollBudget
 from .right import JournalRight
-from .shardstate import DeciderTerms
+from .shardstate import SchedulerParameters
 from .slices import in_slices
 from .statemark import Taken
 from .succession import JOBS_TOPIC
@@ -82,17 +82,17 @@
         self,
         sources: Sources,
         taken: Taken,
-        terms: DeciderTerms,
+        parameters: SchedulerParameters,
         log: NodeLog,
         metrics: NodeMetrics,
     ) -> None:
         self._sources = sources
         self._taken = taken
         self._epoch = taken.epoch
-        self._terms = terms
+        self._parameters = parameters
         self._log = log
         self._metrics = metrics
-        self._decider = Decider(terms, time.monotonic())
+        self._decider = Decider(parameters, time.monotonic())
         self._journal = Journal(
             sources.store,
             JOBS_TOPIC,
@@ -105,19 +105,19 @@
             self._append_unanswered,
             self._append_not_kept,
             taken.end,
-            terms.call_bytes,
+            parameters.call_bytes,
         )
         self._lag = LoopLag(steadyclock.now)
-        self._right = JournalRight(self._journal, terms.orphan_s, self._lag)
+        self._right = JournalRight(self._journal, parameters.orphan_s, self._lag)
         parts = (sources, self._decider, self._apply, log)
         self._operators = OperatorFeed(*parts)
         self._listed = BoxFeed(*parts)
         self._keepers: dict[str, BoxKeeper] = {}
-        steady = Mechanism.STEADY_RETURNS not in terms.off
+        steady = Mechanism.STEADY_RETURNS not in parameters.off
         self._come_back: ComeBack = SteadyReturns() if steady else FollowingOutage()
-        limited = Mechanism.COMMAND_WINDOW not in terms.off
+        limited = Mechanism.COMMAND_WINDOW not in parameters.off
         self._window = CommandWindow(lag=self._lag) if limited else UnlimitedWindow()
-        self._budget = PollBudget(terms.connections)
+        self._budget = PollBudget(parameters.connections)
         self._loaded_at = time.monotonic()
         self._callers: dict[str, _Caller] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
--- a/src/granitetrestle/setup.py
+++ b/src/granitetrestle/setup.py
@@ -2,10 +2,10 @@
 
 import typing as t
 
-from .lending import LendingTerms
-from .ownership import OwnershipTerms
-from .placementterms import PlacementTerms
-from .requests import RequestTerms
+from .lending import LendingParameters
+from .ownership import OwnershipParameters
+from .placementparameters import PlacementParameters
+from .requests import RequestParameters
 
 __all__ = ["Setup", "hall_stream"]
 
@@ -29,9 +29,9 @@
     hall: str
     halls: t.Mapping[str, tuple[str, ...]]
     shards: int = 1
-    ownership: OwnershipTerms = OwnershipTerms()
-    placement: PlacementTerms = PlacementTerms()
-    lending: LendingTerms = LendingTerms()
-    requests: RequestTerms = RequestTerms()
+    ownership: OwnershipParameters = OwnershipParameters()
+    placement: PlacementParameters = PlacementParameters()
+    lending: LendingParameters = LendingParameters()
+    requests: RequestParameters = RequestParameters()
     snapshot_records: int = 2000
     snapshot_s: float = 600.0
--- a/src/granitetrestle/shards.py
+++ b/src/granitetrestle/shards.py
@@ -16,7 +16,7 @@
 from .keys import key_shard
 from .lending import Lendable
 from .lending import Lender
-from .lending import LendingTerms
+from .lending import LendingParameters
 from .messages import EndpointInfo
 from .messages import KeyAsked
 from .messages import KeyReturned
@@ -26,7 +26,7 @@
 from .ownership import Ownership
 from .ownership import ShardState
 from .placement import Placement
-from .placementterms import PlacementTerms
+from .placementparameters import PlacementParameters
 from .policy import Policy
 from .records import ShardReleased
 from .starts import Starter
@@ -44,8 +44,8 @@
         self,
         stream: str,
         shards: int,
-        placement_terms: PlacementTerms,
-        lending_terms: LendingTerms,
+        placement_terms: PlacementParameters,
+        lending_terms: LendingParameters,
         policy: Policy,
         table: Table,
         jobs: Jobs,
@@ -53,7 +53,7 @@
     ) -> None:
         self._stream = stream
         self._shards = shards
-        self._terms = placement_terms
+        self._parameters = placement_terms
         self._lending_terms = lending_terms
         self._ownership = ownership
         self._placement = Placement(stream, shards, placement_terms, jobs, ownership)
@@ -83,12 +83,12 @@
         epoch = self._ownership.shards[shard].epoch
         locked = now
         if before.epoch:
-            orphan = 0.0 if before.released else self._terms.orphan_s
+            orphan = 0.0 if before.released else self._parameters.orphan_s
             quiet = self._ownership.quiet_from(shard)
             locked = quiet + orphan + self._lending_terms.loan_s
         nodes = self._ownership.nodes
         self._lenders[shard] = Lender(shard, epoch, nodes, locked, self._lending_terms)
-        since = wall + KEY_AHEAD_S + self._terms.clock_margin_s
+        since = wall + KEY_AHEAD_S + self._parameters.clock_margin_s
         since = since if before.epoch else 0.0
         self._keys[shard] = KeyLedger(since)
         self._before[shard] = before
@@ -127,7 +127,7 @@
         boxes = book.index.boxes.values()
         if any(box.in_exchange for box in boxes):
             return False
-        limit = wall - self._terms.clock_margin_s
+        limit = wall - self._parameters.clock_margin_s
         return all(
             assignment.not_after < limit
             for assignment in book.assignments()
@@ -171,7 +171,7 @@
             since = lender.grant_sent_at(node, incarnation, message.applied)
             if since is not None:
                 self._ownership.supported(message.shard, node, since)
-        if now > self._ownership.term_ends() + self._terms.orphan_s:
+        if now > self._ownership.term_ends() + self._parameters.orphan_s:
             return None
         in_office = self._may_decide(message.shard, now)
         complete = book.listed and not book.unheard
@@ -221,7 +221,7 @@
         if not self._ownership.holder_gone(before):
             return
         del self._before[shard]
-        margin = self._terms.lease_s + self._terms.clock_margin_s
+        margin = self._parameters.lease_s + self._parameters.clock_margin_s
         book.doubt_ends_wall = min(book.doubt_ends_wall, wall + margin)
         self._lenders[shard].older_owner_gone(now)
 
--- a/src/granitetrestle/shardstate.py
+++ b/src/granitetrestle/shardstate.py
@@ -29,7 +29,7 @@
 from .workflows import Workflow
 from .workflows import parse_task_name
 
-__all__ = ["DeciderTerms", "ShardState", "WaitingStep"]
+__all__ = ["SchedulerParameters", "ShardState", "WaitingStep"]
 
 
 # A job that takes longer than so many times its objective is worth nothing to its
@@ -37,7 +37,7 @@
 OF_USE: t.Final = 3.0
 
 
-class DeciderTerms(t.NamedTuple):
+class SchedulerParameters(t.NamedTuple):
     """Durations in seconds.
 
     :param lease_s: longest lease that a box grants.
@@ -136,8 +136,8 @@
 class ShardState:
     """Jobs, boxes and configuration of one shard."""
 
-    def __init__(self, terms: DeciderTerms) -> None:
-        self.terms = terms
+    def __init__(self, parameters: SchedulerParameters) -> None:
+        self.parameters = parameters
         self.workflows: dict[str, Workflow] = {}
         self.boxes: dict[str, BoxView] = {}
         self.index = BoxIndex()
@@ -162,7 +162,7 @@
 
     def on(self, mechanism: Mechanism) -> bool:
         """Say whether a mechanism is in use."""
-        return mechanism not in self.terms.off
+        return mechanism not in self.parameters.off
 
     def add(self, submission: Submission, now: float) -> Workflow:
         """Enter an accepted job; it must be written."""
--- a/src/granitetrestle_bench/deciding.py
+++ b/src/granitetrestle_bench/deciding.py
@@ -30,7 +30,7 @@
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 
@@ -101,7 +101,7 @@
         self.random = random.Random(seed)
         self.share = boxes / FULL_BOXES
         self.now = 100.0
-        self.decider = Decider(DeciderTerms(), self.now)
+        self.decider = Decider(SchedulerParameters(), self.now)
         self.numbers = itertools.count(1)
         self.ends: list[tuple[float, str, str, int]] = []
         self.running: dict[str, dict[str, tuple[int, Step]]] = {}
--- a/src/granitetrestle_bench/takeover.py
+++ b/src/granitetrestle_bench/takeover.py
@@ -33,7 +33,7 @@
 from granitetrestle.platform.store import PlatformStore
 from granitetrestle.session import Session
 from granitetrestle.session import Sources
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.statemark import Marks
 from granitetrestle.statemark import Taken
 from granitetrestle.succession import JOBS_TOPIC
@@ -285,7 +285,7 @@
     )
     taken = await take_over(store, 1, "measured")
     assert isinstance(taken, Taken), taken
-    session = Session(sources, taken, DeciderTerms(), NodeLog(2), NodeMetrics())
+    session = Session(sources, taken, SchedulerParameters(), NodeLog(2), NodeMetrics())
     gc.collect()
     before_mb = _status_mb("VmRSS")
     watch = _Watch()
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -21,7 +21,7 @@
 from granitetrestle.outside import PollOutcome
 from granitetrestle.outside import Records
 from granitetrestle.outside import Writer
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.statemark import Marks
 from granitetrestle.statemark import Taken
 from granitetrestle_standins.nativestore import StoreModel
@@ -39,7 +39,7 @@
     """What a decider sees of its world; see :class:`.shardworld.ShardWorld`."""
 
     now: float
-    terms: DeciderTerms
+    parameters: SchedulerParameters
     config: Config
     store: StoreModel
     entries: dict[str, BoxEntry]
@@ -82,7 +82,7 @@
         self._suspended_at: float | None = None
         self.confirmed_at = world.now
         self.sequence = 1
-        self.decider = Decider(world.terms, world.now)
+        self.decider = Decider(world.parameters, world.now)
         self.held: list[Decision] = []
         self.notes: list[Noted] = []
         self.looked_at: dict[str, float] = {}
@@ -190,7 +190,7 @@
         if now - self.looked_at.get(incarnation, -1.0) < 2 * STEP_S:
             return
         self.looked_at[incarnation] = now
-        renew = now - self.confirmed_at < self.world.terms.orphan_s
+        renew = now - self.confirmed_at < self.world.parameters.orphan_s
         plan = self.decider.fleet.plan_poll(incarnation, now, renew)
         if plan is None:
             return
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -23,7 +23,7 @@
 from granitetrestle.outside import PollOutcome
 from granitetrestle.outside import Queue
 from granitetrestle.outside import Record
-from granitetrestle.shardstate import DeciderTerms
+from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import DONE
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -84,7 +84,7 @@
         self.random = random.Random(seed)
         self._incarnations = ModelLives(seed, keep_ids)
         self.now = 100.0
-        self.terms = DeciderTerms(lease_s=3.0, orphan_s=2.0, keep_s=600.0)
+        self.parameters = SchedulerParameters(lease_s=3.0, orphan_s=2.0, keep_s=600.0)
         self.store = StoreModel(reading)
         self.config = CONFIG
         self._store_down = False
@@ -140,7 +140,9 @@
 
     def _enter(self, entry: BoxEntry) -> str:
         """Let a life begin that is listed."""
-        self.boxes[entry.incarnation] = BoxModel(entry.incarnation, self.terms.lease_s)
+        self.boxes[entry.incarnation] = BoxModel(
+            entry.incarnation, self.parameters.lease_s
+        )
         self.entries[entry.incarnation] = entry
         return entry.incarnation
 
--- a/tools/older_mutants.py
+++ b/tools/older_mutants.py
@@ -146,7 +146,7 @@
             ),
             (
                 "ownership.py",
-                "return max(now, member.heard_at + self._terms.term_s + self._terms.margin_s)",
+                "return max(now, member.heard_at + self._parameters.term_s + self._parameters.margin_s)",
                 "return now - 100.0",
             ),
             (
@@ -156,7 +156,7 @@
             ),
             (
                 "ownership.py",
-                "if now < self._promised.get(number, -1e18) + self._terms.promise_s:",
+                "if now < self._promised.get(number, -1e18) + self._parameters.promise_s:",
                 "if False:",
             ),
         ),
