--- a/features/lasting_task.py
+++ b/features/lasting_task.py
@@ -8,6 +8,6 @@
         (Step(count=1, cpu=500, memory_mb=10, long_running=True),)
     )
     context.world.advance(4.0)
-    decider = context.world.leader.decider
-    (task,) = decider.state.workflows[context.job].tasks.values()
+    scheduler = context.world.leader.scheduler
+    (task,) = scheduler.state.workflows[context.job].tasks.values()
     return task
--- a/features/random_shard.py
+++ b/features/random_shard.py
@@ -149,7 +149,7 @@
     world.advance(30.0)
     states = {
         job: workflow.state
-        for job, workflow in world.leader.decider.state.workflows.items()
+        for job, workflow in world.leader.scheduler.state.workflows.items()
     }
     assert all(states[job] == "failed" for job in bad), [states[job] for job in bad]
     crashes = [
--- a/features/report_world.py
+++ b/features/report_world.py
@@ -264,13 +264,13 @@
     def revive(self, process):
         process.begin(self.now + self.random.random() * 0.3)
 
-    def decider(self):
+    def scheduler(self):
         return self.processes[self.last]
 
     def decides(self):
         """Say whether a process is at work as the decider."""
-        decider = self.processes[self.last]
-        return decider.leading and not decider.dead
+        scheduler = self.processes[self.last]
+        return scheduler.leading and not scheduler.dead
 
     def ignorant(self, names=None):
         """Who of ``names`` does not know the decider."""
--- a/features/session_world.py
+++ b/features/session_world.py
@@ -217,7 +217,7 @@
         submission = Submission(job, "q", "pool", "s", (step,))
         await session.call(f"r{job}", SubmitJob(submission))
         with anyio.fail_after(10.0):
-            while session.decider.state.workflows[job].state != "completed":
+            while session.scheduler.state.workflows[job].state != "completed":
                 await anyio.sleep(TICK_S)
             await session.drain()
         self.completed.append(job)
--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -4,12 +4,12 @@
 from behave import then
 from behave import when
 
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import StartTask
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.outside import BoxEntry
 from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import PollResult
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from session_world import CONFIG
@@ -31,13 +31,13 @@
         self.most = most_starts
         self.jobs = 0
         self.begun = {}
-        self.decider = Decider(TERMS, 0.0)
-        self.decider.configured(CONFIG)
-        self.decider.evacuation.heard(0.0)
+        self.scheduler = Scheduler(TERMS, 0.0)
+        self.scheduler.configured(CONFIG)
+        self.scheduler.evacuation.heard(0.0)
         entries = {f"b{n}": entry(n) for n in range(boxes)}
-        self.decider.fleet.listed(entries, 0.0)
+        self.scheduler.fleet.listed(entries, 0.0)
         for incarnation in entries:
-            self.decider.fleet.poll_answered(
+            self.scheduler.fleet.poll_answered(
                 incarnation, 0.0, 0.0, PollResult(100, (), ())
             )
 
@@ -45,24 +45,24 @@
         self.jobs += 1
         job = f"{self.jobs:016x}"
         submission = Submission(job, "q", "pool", "s", (step,))
-        self.decider.called(f"r{job}", SubmitJob(submission), self.now)
+        self.scheduler.called(f"r{job}", SubmitJob(submission), self.now)
         return job
 
     def go_on(self, passes):
         for _ in range(passes):
             self.now += PASS_S
-            self.decider.evacuation.heard(self.now)
+            self.scheduler.evacuation.heard(self.now)
             for _ in range(2 * self.most):
                 self.submit(URGENT)
             wall_ms = int(self.now * 1000)
-            for order in self.decider.decide(self.now, wall_ms, self.most):
+            for order in self.scheduler.decide(self.now, wall_ms, self.most):
                 if isinstance(order, StartTask):
                     self.start(order)
 
     def start(self, order):
         self.begun.setdefault(order.task.split(".")[0], self.now)
         taken = CommandAccepted(100)
-        self.decider.start_answered(
+        self.scheduler.start_answered(
             order.incarnation, order.task, order.run, taken, self.now
         )
 
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -107,13 +107,13 @@
         return []
 
 
-def keeper(incarnation, calls, decider, budget):
+def keeper(incarnation, calls, scheduler, budget):
     return BoxKeeper(
         incarnation,
         "a",
         1,
         calls,
-        decider,
+        scheduler,
         lambda decisions: None,
         CONFIRMED,
         NodeMetrics(),
@@ -125,7 +125,7 @@
 
 @given("{boxes:d} boxes, and a decider that needs {ms:d} ms for each call")
 def boxes_for(context, boxes, ms):
-    context.decider, context.calls = Looking(boxes), Boxes(ms / 1000.0)
+    context.scheduler, context.calls = Looking(boxes), Boxes(ms / 1000.0)
 
 
 @given(
@@ -134,14 +134,14 @@
 )
 def boxes_gone(context, boxes, gone, ms):
     lost = {f"b{number}" for number in range(gone)}
-    context.decider, context.calls = Looking(boxes), Boxes(ms / 1000.0, lost)
+    context.scheduler, context.calls = Looking(boxes), Boxes(ms / 1000.0, lost)
 
 
 def look_at_all(context, seconds, budget):
     async def script():
         async with anyio.create_task_group() as tasks:
-            for incarnation in context.decider.boxes:
-                poll = keeper(incarnation, context.calls, context.decider, budget)
+            for incarnation in context.scheduler.boxes:
+                poll = keeper(incarnation, context.calls, context.scheduler, budget)
                 tasks.start_soon(poll.run)
             await anyio.sleep(seconds)
             tasks.cancel_scope.cancel()
@@ -172,7 +172,7 @@
 
 @then("it has reached {boxes:d} boxes at least")
 def reached(context, boxes):
-    adopted = sum(box.adopted for box in context.decider.boxes.values())
+    adopted = sum(box.adopted for box in context.scheduler.boxes.values())
     assert adopted >= boxes, adopted
 
 
@@ -220,14 +220,14 @@
 
 @given("a keeper of an idle box for which there is no connection to wait on")
 def idle_keeper(context):
-    context.decider, context.calls = Looking(1), Boxes(0.0)
+    context.scheduler, context.calls = Looking(1), Boxes(0.0)
     context.budget = PollBudget(0)
 
 
 @when("a task is started there after {seconds:g} seconds")
 def started_after(context, seconds):
     async def script():
-        poll = keeper("b0", context.calls, context.decider, context.budget)
+        poll = keeper("b0", context.calls, context.scheduler, context.budget)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(poll.run)
             await anyio.sleep(seconds)
@@ -243,11 +243,11 @@
 @when("a task is placed and started there in the middle of a look of {span:g} seconds")
 def started_meanwhile(context, span):
     context.calls = Boxes(span)
-    box = context.decider.boxes["b0"]
+    box = context.scheduler.boxes["b0"]
     box.adopted = True
 
     async def script():
-        poll = keeper("b0", context.calls, context.decider, context.budget)
+        poll = keeper("b0", context.calls, context.scheduler, context.budget)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(poll.run)
             await anyio.sleep(span / 2)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -115,7 +115,7 @@
     crashes = world.box_crashes.counts.get(context.task, 0)
     assert 2 <= crashes <= most, (crashes, context.broken)
     assert context.broken is None, context.broken
-    job = world.leader.decider.state.workflows[context.bad]
+    job = world.leader.scheduler.state.workflows[context.bad]
     assert job.state == "failed", job.state
 
 
@@ -123,7 +123,7 @@
 def others_go_on(context):
     world = context.world
     states = {
-        job: world.leader.decider.state.workflows[job].state
+        job: world.leader.scheduler.state.workflows[job].state
         for job in context.others
         if job in world.accepted
     }
@@ -134,7 +134,7 @@
         if job in context.long_running:
             assert state == "running", (job, state)
         else:
-            after = world.leader.decider.state.workflows[job].state
+            after = world.leader.scheduler.state.workflows[job].state
             assert after == "completed", (job, after)
 
 
@@ -187,7 +187,7 @@
     context.job = world.submit((Step(count=1, cpu=500, memory_mb=10),))
     for _ in range(times):
         while (incarnation := box_of(world, f"{context.job}.0.0.0")) is None:
-            assert not world.leader.decider.state.workflows[context.job].terminal
+            assert not world.leader.scheduler.state.workflows[context.job].terminal
             world.advance(0.05)
         world.advance(after_s - 0.05)
         rest = sorted(set(world.entries) - {incarnation})[:others]
@@ -198,7 +198,7 @@
 @then("its job is completed")
 def job_is_completed(context):
     context.world.settle(60.0)
-    job = context.world.leader.decider.state.workflows[context.job]
+    job = context.world.leader.scheduler.state.workflows[context.job]
     assert job.state == "completed", job.state
 
 
@@ -292,11 +292,11 @@
     lasting = Step(count=1, cpu=200, memory_mb=10, long_running=True)
     context.jobs = [world.submit((lasting,)) for _ in range(jobs)]
     world.advance(0.2)
-    decider = world.leader.decider
+    scheduler = world.leader.scheduler
     incarnations = {
         t.box
         for job in context.jobs
-        for t in decider.state.workflows[job].tasks.values()
+        for t in scheduler.state.workflows[job].tasks.values()
     }
     assert len(incarnations) == 1, incarnations
     (incarnation,) = incarnations
@@ -312,7 +312,7 @@
 )
 def all_run_again(context, seconds):
     world = context.world
-    boxes = world.leader.decider.state.boxes.values()
+    boxes = world.leader.scheduler.state.boxes.values()
     closed = sum(box.closed_until > world.now for box in boxes)
     world.advance(seconds)
     running = {task for box in world.boxes.values() for task in box.running}
--- a/features/steps/ends_steps.py
+++ b/features/steps/ends_steps.py
@@ -53,7 +53,7 @@
 def open_again(context, seconds):
     world = context.world
     world.advance(seconds)
-    (box,) = world.leader.decider.state.boxes.values()
+    (box,) = world.leader.scheduler.state.boxes.values()
     assert box.open_for_work(world.now)
 
 
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -10,7 +10,6 @@
 from granitetrestle.commandwindow import FIRST
 from granitetrestle.commandwindow import SHORT
 from granitetrestle.commandwindow import CommandWindow
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import AskAdvice
 from granitetrestle.decisions import Noted
 from granitetrestle.decisions import StopTask
@@ -26,6 +25,7 @@
 from granitetrestle.outside import Queue
 from granitetrestle.outside import Record
 from granitetrestle.platform.front import decode_directive
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -175,9 +175,9 @@
 def start_nowhere(context):
     world = context.world
     world.advance(1.3)
-    decider = world.leader.decider
-    held = decider.evacuation.held
-    assert not decider.evacuation.up_to_date(world.now)
+    scheduler = world.leader.scheduler
+    held = scheduler.evacuation.held
+    assert not scheduler.evacuation.up_to_date(world.now)
     context.waiting = world.submit((SMALL,))
     world.advance(0.3)
     note_halls(context)
@@ -251,7 +251,7 @@
     gang = Step(count=6, cpu=1300, memory_mb=10, gang=True)
     context.gang = world.submit((gang,))
     world.advance(0.1)
-    tasks = world.leader.decider.state.workflows[context.gang].tasks.values()
+    tasks = world.leader.scheduler.state.workflows[context.gang].tasks.values()
     halls = {context.hall_of[task.box] for task in tasks}
     assert halls == {"h1", "h2"}, halls
     world.store_down = False
@@ -282,21 +282,21 @@
 @when("advice named a box of h1 alone, and h1 is evacuated")
 def advice_named(context):
     world = context.world
-    decider = world.leader.decider
+    scheduler = world.leader.scheduler
     advised = QUEUE._replace(advised=True, advice_valid_ms=60_000.0)
-    decider.configured(Config(2, (advised,), {"pool": True}, 262144))
+    scheduler.configured(Config(2, (advised,), {"pool": True}, 262144))
     incarnation = next(
         incarnation for incarnation, hall in context.hall_of.items() if hall == "h1"
     )
     submission = Submission("00ad", "q", "pool", "spec", (SMALL,))
-    decider.called("r", SubmitJob(submission), world.now)
-    asked = decider.decide(world.now, 0)
+    scheduler.called("r", SubmitJob(submission), world.now)
+    asked = scheduler.decide(world.now, 0)
     assert [d for d in asked if isinstance(d, AskAdvice)], asked
     advice = Advice({incarnation: "ticket"}, 60.0)
     question = next(d for d in asked if isinstance(d, AskAdvice))
-    decider.advised(question, advice, world.now)
-    decider.evacuation.ordered([HallDirective("h1", True)], world.now)
-    context.asked = decider.decide(world.now + 2.0, 0)
+    scheduler.advised(question, advice, world.now)
+    scheduler.evacuation.ordered([HallDirective("h1", True)], world.now)
+    context.asked = scheduler.decide(world.now + 2.0, 0)
 
 
 @then("the boxes of h2 are asked about")
@@ -315,8 +315,8 @@
 
     def __init__(self):
         self.now = 10.0
-        self.decider = Decider(SchedulerParameters(), self.now)
-        self.decider.configured(CONFIG)
+        self.scheduler = Scheduler(SchedulerParameters(), self.now)
+        self.scheduler.configured(CONFIG)
         self.entries = {
             incarnation: BoxEntry(
                 incarnation,
@@ -336,25 +336,25 @@
         self.listed()
 
     def listed(self):
-        self.decider.fleet.listed(self.entries, self.now)
+        self.scheduler.fleet.listed(self.entries, self.now)
         for incarnation in self.entries:
-            self.decider.fleet.poll_answered(
+            self.scheduler.fleet.poll_answered(
                 incarnation, self.now, self.now, PollResult(1, (), ())
             )
 
     def submit(self, job, step):
         call = SubmitJob(Submission(job, "q", "pool", "", (step,)))
-        self.decider.called("r", call, self.now)
+        self.scheduler.called("r", call, self.now)
         self.now += 0.1
-        self.decider.decide(self.now, 0)
-        tasks = self.decider.state.workflows[job].tasks.values()
+        self.scheduler.decide(self.now, 0)
+        tasks = self.scheduler.state.workflows[job].tasks.values()
         return [task.box for task in tasks]
 
 
 @given("a slowed task in h2 and idle boxes in h1 and h2")
 def slowed(context):
     context.halls = TwoHalls()
-    state = context.halls.decider.state
+    state = context.halls.scheduler.state
     step = Step(count=1, cpu=1000, memory_mb=10, best_effort=True, image="f")
     box = context.halls.submit("00aa", step)[0]
     context.task = next(iter(state.workflows["00aa"].tasks.values()))
@@ -364,8 +364,8 @@
 
 def better(context):
     halls = context.halls
-    halls.decider.state.index.refresh(halls.now)
-    return halls.decider.dispatcher._better_box(context.task, halls.now)
+    halls.scheduler.state.index.refresh(halls.now)
+    return halls.scheduler.dispatcher._better_box(context.task, halls.now)
 
 
 @then("it would move to a box")
@@ -376,7 +376,7 @@
 @when("h1 is evacuated there")
 def evacuated_there(context):
     orders = [HallDirective("h1", True)]
-    context.halls.decider.evacuation.ordered(orders, context.halls.now)
+    context.halls.scheduler.evacuation.ordered(orders, context.halls.now)
 
 
 @then("it would move to the box in h2")
@@ -508,29 +508,29 @@
     context.halls = TwoHalls()
     step = Step(count=1, cpu=1000, memory_mb=10)
     context.at = context.halls.submit("00bb", step)[0]
-    decider, now = context.halls.decider, context.halls.now
+    scheduler, now = context.halls.scheduler, context.halls.now
     outcome = BoxNoAnswer("no answer in time")
-    context.given = decider.start_answered(context.at, "00bb.0.0.0", 1, outcome, now)
+    context.given = scheduler.start_answered(context.at, "00bb.0.0.0", 1, outcome, now)
     assert [type(decision) for decision in context.given] == [Noted, StopTask]
 
 
 @when("each look waits {wait:g} seconds for an end, and each stop is answered at once")
 def looks_wait(context, wait):
-    halls, decider = context.halls, context.halls.decider
-    task = decider.state.workflows["00bb"].tasks[(0, 0, 0)]
+    halls, scheduler = context.halls, context.halls.scheduler
+    task = scheduler.state.workflows["00bb"].tasks[(0, 0, 0)]
     context.began, context.again_at = halls.now, None
     for _ in range(10):
         sent = halls.now
         for decision in context.given:
             if isinstance(decision, StopTask):
                 answered = CommandAccepted(1)
-                decider.stop_answered(
+                scheduler.stop_answered(
                     context.at, task.name, decision.run, answered, sent + 0.02
                 )
         halls.now = sent + wait
         poll = PollResult(1, (), ())
-        context.given = decider.fleet.poll_answered(context.at, sent, halls.now, poll)
-        decider.decide(halls.now, 0)
+        context.given = scheduler.fleet.poll_answered(context.at, sent, halls.now, poll)
+        scheduler.decide(halls.now, 0)
         if task.run > 1 and context.again_at is None:
             context.again_at = halls.now
 
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -15,7 +15,6 @@
 from hypothesis import settings
 
 from granitetrestle.calls import Reply
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import WatchBox
 from granitetrestle.errors import InvalidInput
 from granitetrestle.feeds import BoxFeed
@@ -32,6 +31,7 @@
 from granitetrestle.registry import LeaderEntry
 from granitetrestle.registry import NodeEntry
 from granitetrestle.registry import Registry
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle_standins.nativestore import MemoryStore
 from granitetrestle_standins.nativestore import StoreModel
@@ -80,12 +80,12 @@
     """The list of boxes as a decider takes it up."""
 
     def __init__(self):
-        self.decider = Decider(SchedulerParameters(), time.monotonic())
-        self.decider.configured(CONFIG)
+        self.scheduler = Scheduler(SchedulerParameters(), time.monotonic())
+        self.scheduler.configured(CONFIG)
         self.log = Lines()
         self.watched = []
         sources = Sources(None, None, "", "", None, decode_entry)
-        self.feed = BoxFeed(sources, self.decider, self.apply, self.log)
+        self.feed = BoxFeed(sources, self.scheduler, self.apply, self.log)
 
     def apply(self, decisions):
         self.watched += [d.incarnation for d in decisions if isinstance(d, WatchBox)]
@@ -97,7 +97,7 @@
         self.feed._take(records)
 
     def used(self):
-        boxes = self.decider.state.boxes
+        boxes = self.scheduler.state.boxes
         return sorted(incarnation for incarnation, box in boxes.items() if box.listed)
 
 
@@ -235,20 +235,20 @@
         return False
     now, records = 100.0, []
     for _ in range(2):
-        decider = Decider(SchedulerParameters(), now)
-        decider.configured(CONFIG)
-        decider.restore(records, now)
+        scheduler = Scheduler(SchedulerParameters(), now)
+        scheduler.configured(CONFIG)
+        scheduler.restore(records, now)
         box = BoxEntry(
             "b", "a", "pool", "h", "r", frozenset(), 4000, 8000, 0, False, None
         )
-        decider.evacuation.all_ordered([], (), now)
-        decider.evacuation.heard(now)
-        decider.fleet.listed({"b": box}, now)
-        decider.fleet.poll_answered("b", now, now, PollResult(1000, (), ()))
-        decider.called("r", call, now)
+        scheduler.evacuation.all_ordered([], (), now)
+        scheduler.evacuation.heard(now)
+        scheduler.fleet.listed({"b": box}, now)
+        scheduler.fleet.poll_answered("b", now, now, PollResult(1000, (), ()))
+        scheduler.called("r", call, now)
         for turn in range(5):
-            decider.decide(now + turn * 0.1, 1000 + turn)
-        records += decider.take_writes()
+            scheduler.decide(now + turn * 0.1, 1000 + turn)
+        records += scheduler.take_writes()
         now += 1.0
     return True
 
--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -11,7 +11,6 @@
 from hypothesis import strategies
 
 from granitetrestle import boxsearch
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import AskAdvice
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StopTask
@@ -28,6 +27,7 @@
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -53,8 +53,8 @@
         self.now = 50.0
         off = SchedulerParameters(off=frozenset({Mechanism.INDEX}))
         self.deciders = [
-            Decider(SchedulerParameters(), self.now),
-            Decider(off, self.now),
+            Scheduler(SchedulerParameters(), self.now),
+            Scheduler(off, self.now),
         ]
         self.entries = {}
         self.running = {}
@@ -64,8 +64,8 @@
         self.starts = 0
         for number in range(self.random.randint(3, 24)):
             self.add_box(number)
-        for decider in self.deciders:
-            decider.configured(Config(1, QUEUES, {"pool": True}, 262144))
+        for scheduler in self.deciders:
+            scheduler.configured(Config(1, QUEUES, {"pool": True}, 262144))
         self.list()
         for incarnation in list(self.entries):
             self.poll(incarnation)
@@ -94,12 +94,12 @@
         )
 
     def list(self):
-        for decider in self.deciders:
-            decider.fleet.listed(dict(self.entries), self.now)
+        for scheduler in self.deciders:
+            scheduler.fleet.listed(dict(self.entries), self.now)
 
     def both(self, call):
         """Give both the same; what they decide must be the same."""
-        first, second = (call(decider) for decider in self.deciders)
+        first, second = (call(scheduler) for scheduler in self.deciders)
         wanted = (StartTask, StopTask, AskAdvice)
         orders = [
             [item for item in made if isinstance(item, wanted)]
@@ -117,7 +117,7 @@
                 if self.random.random() < 0.5
             }
             advice = Advice(good, 0.9)
-            self.both(lambda decider: decider.advised(order, advice, self.now))
+            self.both(lambda scheduler: scheduler.advised(order, advice, self.now))
         elif isinstance(order, StopTask):
             self.end(order.incarnation, order.task, order.run, "stopped")
             accepted = CommandAccepted(int(self.now * 1000))
@@ -180,7 +180,9 @@
         queue = self.random.choice(QUEUES)
         self.jobs.append(job)
         submission = Submission(job, queue.name, queue.service, "s", steps)
-        self.both(lambda decider: decider.called(job, SubmitJob(submission), self.now))
+        self.both(
+            lambda scheduler: scheduler.called(job, SubmitJob(submission), self.now)
+        )
 
     def figure(self, incarnation, task):
         spec = self.deciders[0].state.find_task(task).spec
@@ -201,11 +203,13 @@
             outcome = PollResult(
                 int(self.now * 1000), rows, tuple(self.ended[incarnation])
             )
-        for decider in self.deciders:
-            decider.fleet.plan_poll(incarnation, self.now, True)
+        for scheduler in self.deciders:
+            scheduler.fleet.plan_poll(incarnation, self.now, True)
         at = self.now
         self.both(
-            lambda decider: decider.fleet.poll_answered(incarnation, at, at, outcome)
+            lambda scheduler: scheduler.fleet.poll_answered(
+                incarnation, at, at, outcome
+            )
         )
         self.ended[incarnation].clear()
 
@@ -216,7 +220,7 @@
             self.submit()
         if self.jobs and draw.random() < 0.08:
             job = draw.choice(self.jobs)
-            self.both(lambda decider: decider.called("c", CancelJob(job), self.now))
+            self.both(lambda scheduler: scheduler.called("c", CancelJob(job), self.now))
         for incarnation, tasks in self.running.items():
             for task, run in list(tasks.items()):
                 spec = self.deciders[0].state.find_task(task)
@@ -236,7 +240,7 @@
             self.add_box(1000 + len(self.counts))
             self.list()
         wall = int(self.now * 1000)
-        self.both(lambda decider: decider.decide(self.now, wall))
+        self.both(lambda scheduler: scheduler.decide(self.now, wall))
 
 
 @then("in {count:d} random shards of up to 24 boxes both ways give the same orders")
@@ -295,29 +299,29 @@
 
 @given("a box of 8 GB on which work that fills waits for 1.6 seconds for quiet")
 def waits_for_quiet(context):
-    decider = context.decider = Decider(SchedulerParameters(), 50.0)
-    decider.configured(Config(1, QUEUES, {"pool": True}, 262144))
-    decider.evacuation.all_ordered([], (), 50.0)
-    decider.evacuation.heard(50.0)
+    scheduler = context.scheduler = Scheduler(SchedulerParameters(), 50.0)
+    scheduler.configured(Config(1, QUEUES, {"pool": True}, 262144))
+    scheduler.evacuation.all_ordered([], (), 50.0)
+    scheduler.evacuation.heard(50.0)
     box = BoxEntry(
         "b", "b:1", "pool", "h", "r", frozenset(), 4000, 8000, 0, False, None
     )
-    decider.fleet.listed({"b": box}, 50.0)
-    decider.fleet.poll_answered("b", 50.0, 50.0, PollResult(50_000, (), ()))
+    scheduler.fleet.listed({"b": box}, 50.0)
+    scheduler.fleet.poll_answered("b", 50.0, 50.0, PollResult(50_000, (), ()))
     hand_in(
-        decider, "a", "low", Step(count=1, cpu=3500, memory_mb=1000, best_effort=True)
+        scheduler, "a", "low", Step(count=1, cpu=3500, memory_mb=1000, best_effort=True)
     )
-    assert starts_of(decider.decide(50.1, 50_100)) == [f"{'a' * 16}.0.0.0"]
+    assert starts_of(scheduler.decide(50.1, 50_100)) == [f"{'a' * 16}.0.0.0"]
     hand_in(
-        decider, "b", "low", Step(count=1, cpu=3500, memory_mb=5000, best_effort=True)
+        scheduler, "b", "low", Step(count=1, cpu=3500, memory_mb=5000, best_effort=True)
     )
     for turn in range(3):
-        assert not starts_of(decider.decide(50.2 + turn / 2, 50_200))
+        assert not starts_of(scheduler.decide(50.2 + turn / 2, 50_200))
 
 
-def hand_in(decider, letter, queue, step):
+def hand_in(scheduler, letter, queue, step):
     submission = Submission(letter * 16, queue, "pool", "s", (step,))
-    decider.called(letter, SubmitJob(submission), 50.1)
+    scheduler.called(letter, SubmitJob(submission), 50.1)
 
 
 def starts_of(decisions):
@@ -327,12 +331,12 @@
 @when("a gang is handed in that goes first and takes 4 GB")
 def gang_first(context):
     gang = Step(count=2, cpu=1000, memory_mb=2000, gang=True)
-    hand_in(context.decider, "c", "q", gang)
-    context.started = starts_of(context.decider.decide(51.8, 51_800))
+    hand_in(context.scheduler, "c", "q", gang)
+    context.started = starts_of(context.scheduler.decide(51.8, 51_800))
 
 
 @then("the gang begins, and what needs 5 GB waits on")
 def gang_alone(context):
     gang = [f"{'c' * 16}.0.0.{index}" for index in range(2)]
     assert sorted(context.started) == gang, context.started
-    assert not context.decider.state.boxes["b"].over_room
+    assert not context.scheduler.state.boxes["b"].over_room
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -8,11 +8,11 @@
 from room_steps import SERVING
 from room_steps import Desk
 
-from granitetrestle.decider import Decider
 from granitetrestle.mechanisms import Mechanism
 from granitetrestle.outside import BoxNoAnswer
 from granitetrestle.outside import EndedRun
 from granitetrestle.outside import HallDirective
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import Step
 
@@ -31,33 +31,33 @@
 
 
 def wait_for_put_aside(desk):
-    for box in desk.decider.state.boxes.values():
+    for box in desk.scheduler.state.boxes.values():
         box.closed_until = desk.now + 60.0
     desk.submit("job", SERVING)
 
 
 def wait_for_hall(desk):
-    desk.take(desk.decider.evacuation.ordered([HallDirective("h", True)], desk.now))
+    desk.take(desk.scheduler.evacuation.ordered([HallDirective("h", True)], desk.now))
     desk.submit("job", SERVING)
 
 
 def wait_for_lease(desk):
     desk.submit("job", ONE)
-    (task,) = desk.decider.state.workflows["job"].tasks.values()
+    (task,) = desk.scheduler.state.workflows["job"].tasks.values()
     lost = BoxNoAnswer("no answer")
-    desk.take(desk.decider.fleet.poll_answered(task.box, desk.now, desk.now, lost))
+    desk.take(desk.scheduler.fleet.poll_answered(task.box, desk.now, desk.now, lost))
 
 
 def wait_for_predecessor(desk):
     desk.submit("job", ONE)
-    records = desk.decider.take_writes()
-    desk.decider = Decider(SchedulerParameters(), desk.now)
-    desk.decider.configured(CONFIG)
-    desk.take(desk.decider.restore(records, desk.now))
+    records = desk.scheduler.take_writes()
+    desk.scheduler = Scheduler(SchedulerParameters(), desk.now)
+    desk.scheduler.configured(CONFIG)
+    desk.take(desk.scheduler.restore(records, desk.now))
 
 
 def wait_for_operators(desk):
-    desk.decider.evacuation.heard(desk.now)
+    desk.scheduler.evacuation.heard(desk.now)
     desk.now += 3.0
     desk.submit("job", SERVING)
 
@@ -90,7 +90,7 @@
     notes = [note for note in context.desk.notes if note.event == "lasting_waits"]
     causes = [note.inputs["cause"] for note in notes]
     assert 1 <= len(causes) <= 3 and set(causes) == {cause}, notes
-    causes = context.desk.decider.long_running_waits.causes
+    causes = context.desk.scheduler.long_running_waits.causes
     counted = {counted.value for counted, tasks in causes.items() if tasks}
     assert counted == {cause}, causes
 
@@ -127,7 +127,7 @@
                 desk.end(task, "failed" if self.fails else "done")
 
     def _tasks(self):
-        (box,) = self.desk.decider.state.boxes.values()
+        (box,) = self.desk.scheduler.state.boxes.values()
         return list(box.tasks.values())
 
     def submit_short(self, count):
@@ -141,7 +141,7 @@
     context.desk = Desk(1, OFF)
     for number in range(8):
         context.desk.submit(f"job{number}", SMALL)
-    (context.box,) = context.desk.decider.state.boxes.values()
+    (context.box,) = context.desk.scheduler.state.boxes.values()
     assert len(context.box.tasks) == 8
 
 
@@ -172,7 +172,7 @@
     context.failing.submit_short(6)
     context.failing.step()
     context.failing.step()
-    (context.box,) = context.failing.desk.decider.state.boxes.values()
+    (context.box,) = context.failing.desk.scheduler.state.boxes.values()
     assert not context.box.open_for_work(context.failing.desk.now)
 
 
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -10,7 +10,6 @@
 
 from granitetrestle.comeback import FollowingOutage
 from granitetrestle.comeback import SteadyReturns
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import EndsKnown
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StopTask
@@ -24,6 +23,7 @@
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.waitingorder import waiting_tasks
 from granitetrestle.workflows import Step
@@ -80,9 +80,9 @@
     def __init__(self, boxes, *off):
         self.now = 100.0
         parameters = SchedulerParameters(keep_s=600.0, off=frozenset(off))
-        self.decider = Decider(parameters, self.now)
+        self.scheduler = Scheduler(parameters, self.now)
         queue = Queue("q", "h", "/q/", "pool", 0, 3, 2.0, 1000.0)
-        self.decider.configured(Config(1, (queue,), {}, 1000))
+        self.scheduler.configured(Config(1, (queue,), {}, 1000))
         incarnations = [f"b{number:02}" for number in range(boxes)]
         entries = {
             incarnation: BoxEntry(
@@ -106,7 +106,7 @@
         self.ends = []
         self.jobs = {}
         self.most_starts = ANY_NUMBER
-        self.decider.fleet.listed(entries, self.now)
+        self.scheduler.fleet.listed(entries, self.now)
         for incarnation in incarnations:
             self.poll(incarnation)
 
@@ -121,7 +121,7 @@
             best_effort=True,
         )
         call = SubmitJob(Submission(job, "q", "pool", "s", (step,)))
-        self.take(self.decider.called(job, call, self.now))
+        self.take(self.scheduler.called(job, call, self.now))
         self.jobs[job] = self.now
 
     def take(self, decisions):
@@ -136,7 +136,7 @@
                 )
                 heapq.heappush(self.ends, end)
                 self.take(
-                    self.decider.start_answered(
+                    self.scheduler.start_answered(
                         decision.incarnation,
                         decision.task,
                         decision.run,
@@ -155,9 +155,9 @@
             for task, run in self.running[incarnation].items()
         )
         poll = PollResult(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
-        self.decider.fleet.plan_poll(incarnation, self.now, True)
+        self.scheduler.fleet.plan_poll(incarnation, self.now, True)
         self.take(
-            self.decider.fleet.poll_answered(incarnation, self.now, self.now, poll)
+            self.scheduler.fleet.poll_answered(incarnation, self.now, self.now, poll)
         )
 
     def tick(self, decide=True):
@@ -172,11 +172,11 @@
         for incarnation in self.running:
             self.poll(incarnation)
         if decide:
-            self.take(self.decider.decide(self.now, 0, self.most_starts))
+            self.take(self.scheduler.decide(self.now, 0, self.most_starts))
 
     def in_time(self, times=1.0):
         """How many jobs were completed within so many times their objective."""
-        workflows = [self.decider.state.workflows[job] for job in self.jobs]
+        workflows = [self.scheduler.state.workflows[job] for job in self.jobs]
         objective = 2.0 * self.TASK_S + 1.0
         return sum(
             workflow.state == "completed"
@@ -256,14 +256,14 @@
     shard = context.shards[0]
     for _ in range(1200):
         shard.tick()
-    states = {shard.decider.state.workflows[job].state for job in context.held_up}
+    states = {shard.scheduler.state.workflows[job].state for job in context.held_up}
     assert states == {"completed"}, states
 
 
 @then("the figures show tasks that fill waiting, late ones and more that are too late")
 def figures_show(context):
     shard = context.shards[0]
-    waiting = waiting_tasks(shard.decider.state.waiting.values(), shard.now)
+    waiting = waiting_tasks(shard.scheduler.state.waiting.values(), shard.now)
     assert waiting["short"] == waiting["lasting"] == 0, waiting
     assert 0 < waiting["late"] < waiting["too_late"], waiting
     assert waiting["late"] + waiting["too_late"] < waiting["fills"], waiting
@@ -285,7 +285,7 @@
 @when("jobs in time come for {s:g} seconds, more than can be ordered")
 def keep_coming(context, s):
     (shard,) = context.shards
-    old = shard.decider.state.workflows[next(iter(shard.jobs))]
+    old = shard.scheduler.state.workflows[next(iter(shard.jobs))]
     context.started = [shard.now]
     for _ in range(round(s * 10)):
         before = sum(task.run for task in old.tasks.values())
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -103,4 +103,4 @@
 def no_lease_records(context, seconds):
     context.world.advance(seconds)
     assert lease_records(context) == []
-    assert context.dark not in context.world.leader.decider.state.withdrawn_leases
+    assert context.dark not in context.world.leader.scheduler.state.withdrawn_leases
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -9,7 +9,6 @@
 
 from granitetrestle.calls import Caller
 from granitetrestle.calls import Reply
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StopTask
 from granitetrestle.incarnations import box_id_of
@@ -20,6 +19,7 @@
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import RunningTask
 from granitetrestle.platform.advice import PlatformAdvisor
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.workflows import RUNNING
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -49,47 +49,47 @@
 
 
 def new_decider(now):
-    decider = Decider(TERMS, now)
-    decider.configured(CONFIG)
-    return decider
+    scheduler = Scheduler(TERMS, now)
+    scheduler.configured(CONFIG)
+    return scheduler
 
 
-def listed(decider, incarnation, now):
-    return decider.fleet.listed({incarnation: entry(incarnation)}, now)
+def listed(scheduler, incarnation, now):
+    return scheduler.fleet.listed({incarnation: entry(incarnation)}, now)
 
 
-def decided(decider, now):
-    return decider.decide(now, int(now * 1000))
+def decided(scheduler, now):
+    return scheduler.decide(now, int(now * 1000))
 
 
 @given(
     "a decider that placed a task on the life {incarnation} of box b, alone in its list"
 )
 def placed(context, incarnation):
-    decider = new_decider(0.0)
-    listed(decider, incarnation, 0.0)
-    decider.fleet.poll_answered(incarnation, 0.1, 0.1, NOTHING)
+    scheduler = new_decider(0.0)
+    listed(scheduler, incarnation, 0.0)
+    scheduler.fleet.poll_answered(incarnation, 0.1, 0.1, NOTHING)
     job = Submission(JOB, "q", "pool", "s", (STEP,))
-    decider.called("r", SubmitJob(job), 0.2)
-    (start,) = [d for d in decided(decider, 0.2) if isinstance(d, StartTask)]
-    decider.start_answered(
+    scheduler.called("r", SubmitJob(job), 0.2)
+    (start,) = [d for d in decided(scheduler, 0.2) if isinstance(d, StartTask)]
+    scheduler.start_answered(
         incarnation, start.task, start.run, CommandAccepted(200), 0.3
     )
-    context.left = decider.take_writes()
-    context.decider = decider
+    context.left = scheduler.take_writes()
+    context.scheduler = scheduler
 
 
 def takes_over(context, incarnation):
-    context.decider = decider = new_decider(1.0)
-    decider.restore(context.left, 1.0)
-    context.effects = listed(decider, incarnation, 1.0)
+    context.scheduler = scheduler = new_decider(1.0)
+    scheduler.restore(context.left, 1.0)
+    context.effects = listed(scheduler, incarnation, 1.0)
 
 
 def looked(context, incarnation, outcome, now):
-    context.effects = context.decider.fleet.poll_answered(
+    context.effects = context.scheduler.fleet.poll_answered(
         incarnation, now, now, outcome
     )
-    context.effects += decided(context.decider, now)
+    context.effects += decided(context.scheduler, now)
 
 
 RUNS_IT = PollResult(100, (RunningTask(TASK, 1, "", 10, 0.0),), ())
@@ -109,7 +109,7 @@
 
 @when("b@2 is listed, answers, and runs it")
 def then_listed(context):
-    listed(context.decider, "b@2", 1.2)
+    listed(context.scheduler, "b@2", 1.2)
     looked(context, "b@2", RUNS_IT, 1.3)
 
 
@@ -134,12 +134,12 @@
 @then("the task waits")
 def waits(context):
     assert not starts(context), context.effects
-    assert context.decider.state.find_task(TASK).run == 1
+    assert context.scheduler.state.find_task(TASK).run == 1
 
 
 @then("the task runs on {incarnation}, as run {run:d}")
 def runs(context, incarnation, run):
-    task = context.decider.state.find_task(TASK)
+    task = context.scheduler.state.find_task(TASK)
     assert not any(isinstance(d, StartTask | StopTask) for d in context.effects)
     assert (task.state, task.box, task.run) == (RUNNING, incarnation, run)
 
@@ -147,14 +147,14 @@
 @when("the list shows b@2 in its place, at another address")
 def moved(context):
     moved = entry("b@2")._replace(address="b:2")
-    context.effects = context.decider.fleet.listed({"b@2": moved}, 0.4)
+    context.effects = context.scheduler.fleet.listed({"b@2": moved}, 0.4)
 
 
 @then("the life b@1 is over, and its task waits")
 def over(context):
     over = [d.subject for d in context.effects if getattr(d, "event", "") == "box_over"]
     assert over == ["b@1"], context.effects
-    assert context.decider.state.find_task(TASK).box == ""
+    assert context.scheduler.state.find_task(TASK).box == ""
 
 
 class AdviceService(Caller):
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -12,7 +12,6 @@
 from behave import when
 
 from granitetrestle.calls import Caller
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import AskAdvice
 from granitetrestle.decisions import StartTask
 from granitetrestle.forwarding import ClientCall
@@ -30,6 +29,7 @@
 from granitetrestle.outside import Writer
 from granitetrestle.platform.boxes import PlatformBoxes
 from granitetrestle.platform.server import FrontResponder
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.statemark import MARK_KEY
 from granitetrestle.succession import JOBS_TOPIC
 from granitetrestle.workflows import Step
@@ -170,9 +170,9 @@
 def record_bytes(submission):
     """Return how long a job's record is in a call, as the store counts it: the length of
     its key (1 byte), the key, the value."""
-    decider = Decider(ShardWorld(1, 0).parameters, 0.0)
-    decider.called("r", SubmitJob(submission), 0.0)
-    (record,) = decider.take_writes()
+    scheduler = Scheduler(ShardWorld(1, 0).parameters, 0.0)
+    scheduler.called("r", SubmitJob(submission), 0.0)
+    (record,) = scheduler.take_writes()
     return 1 + len(record.key) + len(record.value)
 
 
@@ -220,28 +220,28 @@
 @given("{count:d} boxes alike, of which advice names {which} as good for a step")
 def advised_boxes(context, count, which):
     world = ShardWorld(1, count)
-    decider = context.decider = Decider(world.parameters, 0.0)
+    scheduler = context.scheduler = Scheduler(world.parameters, 0.0)
     queue = CONFIG.queues[0]._replace(advised=True)
-    decider.configured(CONFIG._replace(queues=(queue,)))
-    decider.evacuation.all_ordered([], (), 0.0)
-    decider.evacuation.heard(0.0)
-    decider.fleet.listed(world.entries, 0.0)
+    scheduler.configured(CONFIG._replace(queues=(queue,)))
+    scheduler.evacuation.all_ordered([], (), 0.0)
+    scheduler.evacuation.heard(0.0)
+    scheduler.fleet.listed(world.entries, 0.0)
     for incarnation in world.entries:
-        decider.fleet.poll_answered(incarnation, 0.0, 0.1, PollResult(100, (), ()))
+        scheduler.fleet.poll_answered(incarnation, 0.0, 0.1, PollResult(100, (), ()))
     context.good = {max(world.entries)} if which == "only the last" else set()
 
 
 @when("a job of that step waits for {seconds:g} seconds")
 def wait_for_advice(context, seconds):
-    decider = context.decider
+    scheduler = context.scheduler
     step = Step(count=1, cpu=100, memory_mb=1)
-    decider.called("r", SubmitJob(Submission("1", "q", "pool", "", (step,))), 0.2)
+    scheduler.called("r", SubmitJob(Submission("1", "q", "pool", "", (step,))), 0.2)
     context.asked = collections.Counter()
     context.starts = []
     now = 0.2
     while now < seconds:
         now += 0.1
-        for decision in decider.decide(now, int(now * 1000)):
+        for decision in scheduler.decide(now, int(now * 1000)):
             if isinstance(decision, AskAdvice):
                 context.asked.update(decision.incarnations)
                 assert len(decision.incarnations) <= 100, decision
@@ -250,10 +250,10 @@
                     for incarnation in decision.incarnations
                     if incarnation in context.good
                 }
-                decider.advised(decision, Advice(good, 1.0), now)
+                scheduler.advised(decision, Advice(good, 1.0), now)
             elif isinstance(decision, StartTask):
                 context.starts.append(decision)
-        decider.evacuation.heard(now)
+        scheduler.evacuation.heard(now)
 
 
 @then("it has started there, and no box was asked about twice")
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -51,7 +51,7 @@
         return CommandAccepted(1)
 
 
-class Decider:
+class Scheduler:
     """As much of one as a keeper asks."""
 
     class fleet:
@@ -79,7 +79,7 @@
 
 def burst(context, window, count, after, urgent):
     link = context.link
-    decider = Decider(context.boxes)
+    scheduler = Scheduler(context.boxes)
 
     async def script():
         keepers = [
@@ -88,7 +88,7 @@
                 "a",
                 1,
                 link,
-                decider,
+                scheduler,
                 lambda decisions: None,
                 CONFIRMED,
                 NodeMetrics(),
@@ -179,22 +179,22 @@
 def may_send(context, boxes, most):
     context.load = Load(boxes, 3)
     context.most = most
-    decider = context.load.decider
-    for workflow in list(decider.state.workflows.values()):
-        decider.called("c", CancelJob(workflow.submission.job), context.load.now)
+    scheduler = context.load.scheduler
+    for workflow in list(scheduler.state.workflows.values()):
+        scheduler.called("c", CancelJob(workflow.submission.job), context.load.now)
 
 
 def placed(context):
     load = context.load
     load.now += 0.1
-    decisions = load.decider.decide(load.now, 0, context.most)
+    decisions = load.scheduler.decide(load.now, 0, context.most)
     return [d for d in decisions if isinstance(d, StartTask)]
 
 
 def hand_in(context, job, queue, **step):
     submission = Submission(job, queue, "pool", "s", (Step(**step),))
     call = SubmitJob(submission)
-    context.load.decider.called(job, call, context.load.now)
+    context.load.scheduler.called(job, call, context.load.now)
 
 
 @when("a job of {count:d} tasks that fill waits, and then an urgent one of {few:d}")
@@ -217,23 +217,24 @@
     hand_in(context, "a" * 16, "short", count=1, cpu=1000)
     load = context.load
     (context.order,) = placed(context)
-    assert load.decider.start_wanted(context.order, load.now)
+    assert load.scheduler.start_wanted(context.order, load.now)
     entries = {
-        incarnation: box.entry for incarnation, box in load.decider.state.boxes.items()
+        incarnation: box.entry
+        for incarnation, box in load.scheduler.state.boxes.items()
     }
     leaving = entries[context.order.incarnation]._replace(
         draining=True, leaving_in_s=4.0
     )
     entries[context.order.incarnation] = leaving
-    load.decider.fleet.listed(entries, load.now)
+    load.scheduler.fleet.listed(entries, load.now)
 
 
 @then("it is not wanted any more, and its task starts elsewhere at once")
 def not_wanted(context):
-    decider, order, now = context.load.decider, context.order, context.load.now
-    assert not decider.start_wanted(order, context.load.now)
+    scheduler, order, now = context.load.scheduler, context.order, context.load.now
+    assert not scheduler.start_wanted(order, context.load.now)
     withdrawn = CommandNotSent("withdrawn")
-    decider.start_answered(order.incarnation, order.task, order.run, withdrawn, now)
+    scheduler.start_answered(order.incarnation, order.task, order.run, withdrawn, now)
     (again,) = placed(context)
     assert again.task == order.task and again.incarnation != order.incarnation
 
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -251,7 +251,7 @@
     "seconds at once"
 )
 def never_long(context, count, seconds):
-    workflows = context.session.decider.state.workflows.values()
+    workflows = context.session.scheduler.state.workflows.values()
     running = [
         task
         for workflow in workflows
@@ -270,7 +270,7 @@
 
 @when("it is deposed")
 def deposed(context):
-    state = context.session.decider.state
+    state = context.session.scheduler.state
     tasks = [t for w in state.workflows.values() for t in w.tasks.values()]
     assert len(tasks) >= 1000, len(tasks)
     known = [state, *state.workflows.values(), *state.boxes.values()]
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -8,7 +8,6 @@
 from granitetrestle.boxes import BoxView
 from granitetrestle.boxlife import BoxKeeper
 from granitetrestle.commandwindow import CommandWindow
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import StopTask
 from granitetrestle.interference import Interference
 from granitetrestle.looplag import LoopLag
@@ -23,6 +22,7 @@
 from granitetrestle.pacing import observe
 from granitetrestle.pacing import pace_changes
 from granitetrestle.pollbudget import PollBudget
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.serviceload import StepLoad
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import RUNNING
@@ -206,13 +206,13 @@
 @when("thirty stops are ordered together")
 def thirty_stops(context):
     async def wave():
-        decider = Decider(SchedulerParameters(), 0.0)
+        scheduler = Scheduler(SchedulerParameters(), 0.0)
         keeper = BoxKeeper(
             "b1",
             "a",
             1,
             context.calls,
-            decider,
+            scheduler,
             lambda decisions: None,
             CONFIRMED,
             NodeMetrics(),
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -5,7 +5,6 @@
 from behave import then
 from behave import when
 
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import Noted
 from granitetrestle.decisions import StartTask
 from granitetrestle.jobcalls import CancelJob
@@ -13,6 +12,7 @@
 from granitetrestle.jobrecords import GROUP_SIZE
 from granitetrestle.outside import Record
 from granitetrestle.outside import Writer
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import DONE
 from granitetrestle.workflows import RUNNING
@@ -25,30 +25,30 @@
 def written_bytes(count):
     """Bytes for a job whose tasks run one after the other on one box."""
     load = Load(1, 1)
-    load.decider = Decider(SchedulerParameters(), load.now)
+    load.scheduler = Scheduler(SchedulerParameters(), load.now)
     total = 0
-    decider = load.decider
+    scheduler = load.scheduler
     load.__init__(1, 1)
-    decider = load.decider
+    scheduler = load.scheduler
     step = Step(count=count, cpu=32000, memory_mb=100, estimate_ms=100)
     submission = Submission("a" * 16, "short", "pool", "s", (step,))
-    decider.called("r", SubmitJob(submission), load.now)
+    scheduler.called("r", SubmitJob(submission), load.now)
     for _ in range(count):
         load.now += 0.2
-        for decision in decider.decide(load.now, 0):
+        for decision in scheduler.decide(load.now, 0):
             if isinstance(decision, StartTask):
                 load._start(decision)
-        total += size(decider)
+        total += size(scheduler)
         for incarnation, tasks in load.running.items():
             for task, (run, _) in list(tasks.items()):
                 load._end(incarnation, task, run, "done")
             load._poll(incarnation)
-        total += size(decider)
+        total += size(scheduler)
     return total
 
 
-def size(decider):
-    return sum(len(r.key) + len(r.value or b"") for r in decider.take_writes())
+def size(scheduler):
+    return sum(len(r.key) + len(r.value or b"") for r in scheduler.take_writes())
 
 
 @given(
@@ -91,7 +91,7 @@
 def successor_tells(context, state):
     world = context.world
     world.take_over()
-    workflows = world.leader.decider.state.workflows
+    workflows = world.leader.scheduler.state.workflows
     assert workflows[context.job].state == state
     submission = Submission(context.job, "q", "pool", "s", WIDE)
     world.ask(SubmitJob(submission), context.job)
@@ -142,7 +142,7 @@
     # The world itself raises when a task that was done begins again.
     context.world.settle(60.0)
     assert (
-        context.world.leader.decider.state.workflows[context.job].state == "completed"
+        context.world.leader.scheduler.state.workflows[context.job].state == "completed"
     )
 
 
@@ -165,7 +165,7 @@
     context.ran_before = starts(context)
     context.noted = []
     # What a session logs of a take-over.
-    restored = Decider(SchedulerParameters(), world.now).restore(
+    restored = Scheduler(SchedulerParameters(), world.now).restore(
         world.store.newest(JOBS).records, world.now
     )
     context.noted = [note for note in restored if isinstance(note, Noted)]
@@ -190,7 +190,7 @@
 @then("the second job completes while nothing new of the first is started")
 def second_completes(context):
     world = context.world
-    state = world.leader.decider.state
+    state = world.leader.scheduler.state
     world.advance(4.0)
     known = state.workflows[context.second]
     left = [t.name for t in known.tasks.values() if t.state != DONE]
@@ -208,9 +208,9 @@
     context.job = world.submit((step,))
     world.advance(0.3)
     leader = world.leader
-    leader.apply(leader.decider.called("c", CancelJob(context.job), world.now))
+    leader.apply(leader.scheduler.called("c", CancelJob(context.job), world.now))
     world._asked["c"] = CancelJob(context.job)
-    records = leader.decider.take_writes()
+    records = leader.scheduler.take_writes()
     writer = Writer(leader.epoch, leader.sequence + 1)
     world.store.append(JOBS, records, writer)
     world.kill()
@@ -237,7 +237,7 @@
     context.job = world.submit((gang, after))
     world.advance(0.2)
     leader = world.leader
-    workflow = leader.decider.state.workflows[context.job]
+    workflow = leader.scheduler.state.workflows[context.job]
     assert all(task.placed for task in workflow.step_tasks(0, 0))
     first = workflow.tasks[(0, 0, 0)]
     for box in world.boxes.values():
@@ -247,14 +247,14 @@
                 context.incarnation = box.incarnation
     poll = world.poll(leader, context.incarnation, 0, None)
     leader.apply(
-        leader.decider.fleet.poll_answered(
+        leader.scheduler.fleet.poll_answered(
             context.incarnation, world.now, world.now, poll
         )
     )
-    records = leader.decider.take_writes()
+    records = leader.scheduler.take_writes()
     world.store.append(JOBS, records, Writer(leader.epoch, leader.sequence + 1))
     world.kill()
-    restored = context.successor = Decider(SchedulerParameters(), world.now)
+    restored = context.successor = Scheduler(SchedulerParameters(), world.now)
     restored.restore(world.store.newest(JOBS).records, world.now)
 
 
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -87,7 +87,7 @@
 
 def other_halls(world):
     halls = {process.hall for process in world.processes.values()}
-    return sorted(halls - {world.decider().hall})
+    return sorted(halls - {world.scheduler().hall})
 
 
 @when(
@@ -155,7 +155,7 @@
 @when("the decider's data hall is cut off for {seconds:g} seconds")
 def decider_cut(context, seconds):
     world = context.world
-    world.cuts.add(world.decider().hall)
+    world.cuts.add(world.scheduler().hall)
     context.killed_at = world.now
     world.run(seconds)
     world.cuts.clear()
@@ -240,7 +240,7 @@
 )
 def refuses_two(context, seconds):
     world = context.world
-    first = world.decider().leadership.ranked(world.now)[0]
+    first = world.scheduler().leadership.ranked(world.now)[0]
     context.killed_at = world.now
     world.refused = {world.last, first}
     world.run(seconds)
@@ -261,10 +261,10 @@
 )
 def in_other_halls(context, count, count2):
     world = context.world
-    decider = world.decider()
-    named = decider.leadership.ranked(world.now)[:count]
+    scheduler = world.scheduler()
+    named = scheduler.leadership.ranked(world.now)[:count]
     halls = {world.processes[name].hall for name in named}
-    assert len(halls) == count2 and decider.hall not in halls, halls
+    assert len(halls) == count2 and scheduler.hall not in halls, halls
 
 
 @when(
@@ -276,7 +276,7 @@
     world.delay = least / 1000.0
     world.run(2.0)
     context.killed_at = world.now
-    world.decider().frozen_until = world.now + s
+    world.scheduler().frozen_until = world.now + s
 
 
 @then(
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -8,7 +8,6 @@
 from behave import then
 from behave import when
 
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import LeaveBox
 from granitetrestle.decisions import PaceTask
 from granitetrestle.decisions import StartTask
@@ -22,6 +21,7 @@
 from granitetrestle.outside import RunningTask
 from granitetrestle.outside import StoreUnavailable
 from granitetrestle.outside import Writer
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.session import Session
 from granitetrestle.statemark import MARK_KEY
 from granitetrestle.statemark import Taken
@@ -166,7 +166,7 @@
             await anyio.sleep(1.5)
             context.states = {
                 job: workflow.state
-                for job, workflow in session.decider.state.workflows.items()
+                for job, workflow in session.scheduler.state.workflows.items()
             }
 
     anyio.run(script)
@@ -290,7 +290,7 @@
         await anyio.sleep(0.7)
         async with world.session(2) as session:
             with anyio.fail_after(15.0):
-                while session.decider.state.workflows[job.job].state != "completed":
+                while session.scheduler.state.workflows[job.job].state != "completed":
                     await anyio.sleep(0.01)
 
     model = world.boxes.models["b0"]
@@ -326,24 +326,24 @@
 
 @given("a box whose earlier life ended, and whose present life runs a task")
 def two_lives(context):
-    decider = context.decider = Decider(TERMS, 0.0)
-    decider.configured(CONFIG)
-    decider.fleet.listed({"first": entry("first")}, 0.0)
-    decider.fleet.poll_answered("first", 0.1, 0.1, PollResult(100, (), ()))
+    scheduler = context.scheduler = Scheduler(TERMS, 0.0)
+    scheduler.configured(CONFIG)
+    scheduler.fleet.listed({"first": entry("first")}, 0.0)
+    scheduler.fleet.poll_answered("first", 0.1, 0.1, PollResult(100, (), ()))
     both = {"first": entry("first"), "second": entry("second")}
-    decider.fleet.listed(both, 1.0)
-    decider.fleet.poll_answered("first", 1.1, 1.1, BoxReplaced())
-    decider.fleet.poll_answered("second", 1.1, 1.1, PollResult(100, (), ()))
-    decider.called("r", SubmitJob(submission(1, 100)), 1.2)
-    (start,) = [d for d in decider.decide(1.2, 1200) if isinstance(d, StartTask)]
+    scheduler.fleet.listed(both, 1.0)
+    scheduler.fleet.poll_answered("first", 1.1, 1.1, BoxReplaced())
+    scheduler.fleet.poll_answered("second", 1.1, 1.1, PollResult(100, (), ()))
+    scheduler.called("r", SubmitJob(submission(1, 100)), 1.2)
+    (start,) = [d for d in scheduler.decide(1.2, 1200) if isinstance(d, StartTask)]
     assert start.incarnation == "second", start
     running = (RunningTask(start.task, start.run, "", 10, 0.0),)
-    decider.fleet.poll_answered("second", 1.3, 1.3, PollResult(300, running, ()))
+    scheduler.fleet.poll_answered("second", 1.3, 1.3, PollResult(300, running, ()))
 
 
 @when("the list of boxes shows the earlier life alone")
 def earlier_alone(context):
-    fleet = context.decider.fleet
+    fleet = context.scheduler.fleet
     context.decisions = fleet.listed({"first": entry("first")}, 1.5)
 
 
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -13,7 +13,6 @@
 from behave import when
 
 from granitetrestle.boxes import BoxView
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import Noted
 from granitetrestle.decisions import StartTask
 from granitetrestle.errors import UnknownMechanism
@@ -30,6 +29,7 @@
 from granitetrestle.outside import RunningTask
 from granitetrestle.overload import bearable_stretch
 from granitetrestle.progress import Progress
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.serviceload import MEAN_BUSY
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.tasktimes import PHASES
@@ -50,8 +50,8 @@
 
     def __init__(self, boxes, off=frozenset()):
         self.now = 10.0
-        self.decider = Decider(SchedulerParameters(off=off), self.now)
-        self.decider.configured(CONFIG)
+        self.scheduler = Scheduler(SchedulerParameters(off=off), self.now)
+        self.scheduler.configured(CONFIG)
         self.entries = {
             f"b{number}": BoxEntry(
                 f"b{number}",
@@ -68,14 +68,14 @@
             )
             for number in range(boxes)
         }
-        self.decider.fleet.listed(self.entries, self.now)
+        self.scheduler.fleet.listed(self.entries, self.now)
         self.ends = 0
         self.notes = []
         for incarnation in self.entries:
             self.poll(incarnation)
 
     def poll(self, incarnation, ended=()):
-        box = self.decider.state.boxes[incarnation]
+        box = self.scheduler.state.boxes[incarnation]
         over = {row.task for row in ended}
         running = tuple(
             RunningTask(task.name, task.run, "", 0, 0.0)
@@ -84,7 +84,7 @@
         )
         outcome = PollResult(1000, running, tuple(ended))
         self.take(
-            self.decider.fleet.poll_answered(incarnation, self.now, self.now, outcome)
+            self.scheduler.fleet.poll_answered(incarnation, self.now, self.now, outcome)
         )
 
     def end(self, task, how):
@@ -95,7 +95,7 @@
     def take(self, decisions):
         for decision in decisions:
             if isinstance(decision, StartTask):
-                self.decider.start_answered(
+                self.scheduler.start_answered(
                     decision.incarnation,
                     decision.task,
                     decision.run,
@@ -107,12 +107,12 @@
 
     def submit(self, job, *steps):
         call = SubmitJob(Submission(job, "q", "pool", "", steps))
-        self.take(self.decider.called("r", call, self.now))
+        self.take(self.scheduler.called("r", call, self.now))
         self.decide()
-        return self.decider.state.workflows[job]
+        return self.scheduler.state.workflows[job]
 
     def decide(self):
-        self.take(self.decider.decide(self.now, int(self.now * 1000)))
+        self.take(self.scheduler.decide(self.now, int(self.now * 1000)))
 
     def wait(self, seconds):
         for _ in range(round(seconds / 0.1)):
@@ -121,7 +121,7 @@
 
     def placed(self, job):
         return sum(
-            task.placed for task in self.decider.state.workflows[job].tasks.values()
+            task.placed for task in self.scheduler.state.workflows[job].tasks.values()
         )
 
 
@@ -207,7 +207,7 @@
 def one_image_each(context):
     images = [
         {task.spec.image for task in box.serving.values()}
-        for box in context.desk.decider.state.boxes.values()
+        for box in context.desk.scheduler.state.boxes.values()
     ]
     assert sorted(map(sorted, images)) == [["a"], ["b"]], images
 
@@ -223,7 +223,7 @@
     first, second = context.workflow.tasks.values()
     desk.now += 1.0
     desk.__dict__.update(entries={"b0": Desk(1).entries["b0"]})
-    desk.decider.fleet.listed(desk.entries, desk.now)
+    desk.scheduler.fleet.listed(desk.entries, desk.now)
     desk.poll("b0")
     desk.decide()
     desk.now += 2.0
@@ -362,13 +362,13 @@
 
 @then("it still takes work")
 def takes_work(context):
-    (box,) = context.desk.decider.state.boxes.values()
+    (box,) = context.desk.scheduler.state.boxes.values()
     assert box.open_for_work(context.desk.now)
 
 
 @when("every run there fails")
 def every_run_fails(context):
-    (box,) = context.desk.decider.state.boxes.values()
+    (box,) = context.desk.scheduler.state.boxes.values()
     context.more = 0
     while box.open_for_work(context.desk.now) and context.more < 10:
         end_of_job(context.desk, 300 + context.more, "failed")
@@ -387,7 +387,7 @@
     context.task, context.other = workflow.tasks.values()
     context.incarnation = context.task.box
     # As after its lease must have lapsed.
-    Progress(desk.decider.state).requeue(context.task, desk.now)
+    Progress(desk.scheduler.state).requeue(context.task, desk.now)
 
 
 @when("the end of its last run is listed after all, as done")
@@ -405,4 +405,4 @@
     desk.wait(1.0)
     assert context.task.run == 1
     desk.end(context.other, "done")
-    assert desk.decider.state.workflows["job"].state == "completed"
+    assert desk.scheduler.state.workflows["job"].state == "completed"
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -5,7 +5,6 @@
 from behave import when
 from msgspec.structs import replace
 
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import AskAdvice
 from granitetrestle.decisions import StartTask
 from granitetrestle.jobcalls import SubmitJob
@@ -13,6 +12,7 @@
 from granitetrestle.outside import PollResult
 from granitetrestle.packing import Packer
 from granitetrestle.packing import Ranking
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from granitetrestle_standins.shardworld import CONFIG
@@ -32,7 +32,7 @@
 
 
 def state(context, job):
-    return context.world.leader.decider.state.workflows[job].state
+    return context.world.leader.scheduler.state.workflows[job].state
 
 
 @then(
@@ -58,7 +58,7 @@
     world.store_down = True
     context.job = world.submit(ONE)
     world.advance(0.1)
-    tasks = world.leader.decider.state.workflows[context.job].tasks.values()
+    tasks = world.leader.scheduler.state.workflows[context.job].tasks.values()
     for incarnation in {task.box for task in tasks}:
         world.cut[incarnation] = world.now + 5.0
     world.advance(4.9)
@@ -166,19 +166,19 @@
 @when("a job of a queue under advice is handed in, and one box is named as good")
 def under_advice(context):
     world = context.world
-    decider = context.decider = Decider(world.parameters, 0.0)
+    scheduler = context.scheduler = Scheduler(world.parameters, 0.0)
     queue = CONFIG.queues[0]._replace(advised=True)
-    decider.configured(CONFIG._replace(queues=(queue,)))
-    decider.fleet.listed(world.entries, 0.0)
+    scheduler.configured(CONFIG._replace(queues=(queue,)))
+    scheduler.fleet.listed(world.entries, 0.0)
     for incarnation in world.entries:
-        decider.fleet.poll_answered(incarnation, 0.0, 0.1, PollResult(100, (), ()))
-    decider.called("r", SubmitJob(Submission("1", "q", "pool", "", ONE)), 0.2)
-    (asked,) = decider.decide(0.3, 0)
+        scheduler.fleet.poll_answered(incarnation, 0.0, 0.1, PollResult(100, (), ()))
+    scheduler.called("r", SubmitJob(Submission("1", "q", "pool", "", ONE)), 0.2)
+    (asked,) = scheduler.decide(0.3, 0)
     assert isinstance(asked, AskAdvice) and len(asked.incarnations) == 3, asked
-    assert decider.decide(0.4, 0) == []
+    assert scheduler.decide(0.4, 0) == []
     context.incarnation = asked.incarnations[1]
-    decider.advised(asked, Advice({context.incarnation: "good-ticket"}, 3.0), 0.5)
-    context.effects = decider.decide(0.6, 0)
+    scheduler.advised(asked, Advice({context.incarnation: "good-ticket"}, 3.0), 0.5)
+    context.effects = scheduler.decide(0.6, 0)
 
 
 @then("both of its tasks were started there, each with the ticket")
@@ -237,7 +237,7 @@
     world.cut["b1"] = world.now + 0.5
     world.advance(0.05)
     world.late_share = 0.0
-    tasks = world.leader.decider.state.workflows[context.job].tasks.values()
+    tasks = world.leader.scheduler.state.workflows[context.job].tasks.values()
     assert {task.box for task in tasks} <= {"b1", ""}
     world.advance(12.0)
 
@@ -248,7 +248,7 @@
     # The third task of a step is the one that runs for five seconds.
     context.job = world.submit((Step(count=3, cpu=100, memory_mb=10),))
     world.advance(2.5)
-    tasks = world.leader.decider.state.workflows[context.job].tasks.values()
+    tasks = world.leader.scheduler.state.workflows[context.job].tasks.values()
     for incarnation in {task.box for task in tasks if task.box}:
         world.cut[incarnation] = world.now + 2.0
     world.advance(4.0)
@@ -270,7 +270,7 @@
     context.task = f"{context.job}.0.0.0"
     for _ in range(40):
         world.advance(0.05)
-        if world.leader.decider.state.find_task(context.task).failures:
+        if world.leader.scheduler.state.find_task(context.task).failures:
             break
     # One more step writes the end; the look that would confirm it comes after that.
     world.advance(0.05)
@@ -285,7 +285,7 @@
 @then("the successor counts one failure, and the job completes")
 def counted_once(context):
     world = context.world
-    assert world.leader.decider.state.find_task(context.task).failures == 1
+    assert world.leader.scheduler.state.find_task(context.task).failures == 1
     world.settle(10.0)
     assert state(context, context.job) == "completed"
 
@@ -350,8 +350,8 @@
 
 @when("a job that fills comes and no box bears it")
 def no_box_bears(context):
-    decider = context.world.leader.decider
-    decider.dispatcher.packer = NoBox()
+    scheduler = context.world.leader.scheduler
+    scheduler.dispatcher.packer = NoBox()
     step = Step(count=5, cpu=1000, memory_mb=100, estimate_ms=5000, best_effort=True)
     context.job = context.world.submit((step,))
 
@@ -373,7 +373,7 @@
     )
     context.job = world.submit((step,))
     world.advance(0.1)
-    tasks = world.leader.decider.state.workflows[context.job].tasks.values()
+    tasks = world.leader.scheduler.state.workflows[context.job].tasks.values()
     context.left = next(iter(tasks)).box
     entry = world.entries[context.left]
     world.entries[context.left] = entry._replace(draining=True, leaving_in_s=0.5)
--- a/features/steps/store_reading_steps.py
+++ b/features/steps/store_reading_steps.py
@@ -189,5 +189,5 @@
 
 @then("the successor knows the job")
 def successor_knows(context):
-    known = context.world.leader.decider.state.workflows
+    known = context.world.leader.scheduler.state.workflows
     assert context.job in known, f"accepted, and the successor knows {list(known)}"
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -75,7 +75,7 @@
             await world.do_job(session, tasks)
             context.states = {
                 job: workflow.state
-                for job, workflow in session.decider.state.workflows.items()
+                for job, workflow in session.scheduler.state.workflows.items()
             }
 
     anyio.run(script)
--- a/features/steps/unwell_steps.py
+++ b/features/steps/unwell_steps.py
@@ -4,7 +4,6 @@
 from behave import then
 from behave import when
 
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StopTask
 from granitetrestle.jobcalls import SubmitJob
@@ -13,6 +12,7 @@
 from granitetrestle.outside import CommandAccepted
 from granitetrestle.outside import CommandRejected
 from granitetrestle.outside import PollResult
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from session_world import CONFIG
@@ -37,33 +37,33 @@
 
 @given("a task whose start got no answer, so that it is being stopped")
 def being_stopped(context):
-    decider = context.decider = Decider(TERMS, 0.0)
-    decider.configured(CONFIG)
-    decider.fleet.listed({"b1": entry("b1")}, 0.0)
-    decider.fleet.poll_answered("b1", 0.1, 0.1, PollResult(100, (), ()))
+    scheduler = context.scheduler = Scheduler(TERMS, 0.0)
+    scheduler.configured(CONFIG)
+    scheduler.fleet.listed({"b1": entry("b1")}, 0.0)
+    scheduler.fleet.poll_answered("b1", 0.1, 0.1, PollResult(100, (), ()))
     step = Step(count=1, cpu=500, memory_mb=1, estimate_ms=200)
     job = Submission("1".rjust(16, "0"), "q", "pool", "s", (step,))
-    decider.called("r", SubmitJob(job), 0.2)
-    (start,) = [d for d in decider.decide(0.2, 200) if isinstance(d, StartTask)]
+    scheduler.called("r", SubmitJob(job), 0.2)
+    (start,) = [d for d in scheduler.decide(0.2, 200) if isinstance(d, StartTask)]
     context.start = start
     doubt = BoxNoAnswer("no answer in time", True)
-    stops = decider.start_answered("b1", start.task, start.run, doubt, 0.6)
+    stops = scheduler.start_answered("b1", start.task, start.run, doubt, 0.6)
     assert any(isinstance(d, StopTask) for d in stops), stops
 
 
 def looked(context, now):
     """Look at the box, which shows nothing; returns what is decided then."""
-    decider = context.decider
-    effects = decider.fleet.poll_answered(
+    scheduler = context.scheduler
+    effects = scheduler.fleet.poll_answered(
         "b1", now, now, PollResult(int(now * 1000), (), ())
     )
-    return [*effects, *decider.decide(now, int(now * 1000))]
+    return [*effects, *scheduler.decide(now, int(now * 1000))]
 
 
 @when("the box refuses the stop as unwell, and a look shows nothing of the task")
 def refuses(context):
     start, refused = context.start, CommandRejected("unhealthy")
-    context.decider.stop_answered("b1", start.task, start.run, refused, 0.7)
+    context.scheduler.stop_answered("b1", start.task, start.run, refused, 0.7)
     context.decisions = [*looked(context, 0.8), *looked(context, 1.5)]
 
 
@@ -77,6 +77,6 @@
 @then("once the box has taken the stop, it is started elsewhere")
 def then_started(context):
     start, taken = context.start, CommandAccepted(1600)
-    context.decider.stop_answered("b1", start.task, start.run, taken, 1.6)
+    context.scheduler.stop_answered("b1", start.task, start.run, taken, 1.6)
     starts = [d for d in looked(context, 1.8) if isinstance(d, StartTask)]
     assert [d.run for d in starts] == [start.run + 1], starts
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -7,7 +7,6 @@
 from behave import given
 from behave import then
 
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import EndsKnown
 from granitetrestle.decisions import StartTask
 from granitetrestle.jobcalls import SubmitJob
@@ -19,6 +18,7 @@
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.shardstate import WaitingStep
 from granitetrestle.waitingorder import ByUrgency
@@ -42,9 +42,9 @@
     def __init__(self, boxes, load, off):
         self.now = 100.0
         parameters = SchedulerParameters(keep_s=600.0, off=frozenset(off))
-        self.decider = Decider(parameters, self.now)
+        self.scheduler = Scheduler(parameters, self.now)
         queue = Queue("q", "h", "/q/", "pool", 0, 3, STRETCH, TARGET_S * 1000.0)
-        self.decider.configured(Config(1, (queue,), {}, 1000))
+        self.scheduler.configured(Config(1, (queue,), {}, 1000))
         incarnations = [f"b{number:02}" for number in range(boxes)]
         self.running = {incarnation: {} for incarnation in incarnations}
         self.ended = {incarnation: [] for incarnation in incarnations}
@@ -59,7 +59,7 @@
             )
             for incarnation in incarnations
         }
-        self.decider.fleet.listed(entries, self.now)
+        self.scheduler.fleet.listed(entries, self.now)
         self.play(random.Random(1), boxes * BOX_CPU / TASK_CPU, load)
 
     def play(self, draw, room, load):
@@ -93,7 +93,7 @@
         self.lasts[job] = lasts_s
         self.came[job] = (self.now, 2 * tasks * lasts_s)
         submission = Submission(job, "q", "pool", "s", (first, second))
-        self.take(self.decider.called(job, SubmitJob(submission), self.now))
+        self.take(self.scheduler.called(job, SubmitJob(submission), self.now))
         return self.came[job][1]
 
     def tick(self):
@@ -113,11 +113,13 @@
             poll = PollResult(
                 int(self.now * 1000), rows, tuple(self.ended[incarnation])
             )
-            self.decider.fleet.plan_poll(incarnation, self.now, True)
+            self.scheduler.fleet.plan_poll(incarnation, self.now, True)
             self.take(
-                self.decider.fleet.poll_answered(incarnation, self.now, self.now, poll)
+                self.scheduler.fleet.poll_answered(
+                    incarnation, self.now, self.now, poll
+                )
             )
-        self.take(self.decider.decide(self.now, 0))
+        self.take(self.scheduler.decide(self.now, 0))
 
     def take(self, decisions):
         for decision in decisions:
@@ -131,7 +133,7 @@
         ends = self.now + self.lasts[order.task.split(".")[0]]
         heapq.heappush(self.ends, (ends, order.incarnation, order.task, order.run))
         self.take(
-            self.decider.start_answered(
+            self.scheduler.start_answered(
                 order.incarnation, order.task, order.run, CommandAccepted(1), self.now
             )
         )
@@ -143,7 +145,7 @@
         return sum(map(self.of_use, jobs)) / len(jobs)
 
     def of_use(self, job):
-        workflow = self.decider.state.workflows[job]
+        workflow = self.scheduler.state.workflows[job]
         objective = STRETCH * 2 * self.lasts[job] + TARGET_S
         took = workflow.ended_at - self.came[job][0]
         return workflow.state == "completed" and took <= OF_USE * objective
--- a/src/granitetrestle/boxlife.py
+++ b/src/granitetrestle/boxlife.py
@@ -10,7 +10,6 @@
 from .commandwindow import FIRST
 from .commandwindow import SHORT
 from .commandwindow import CommandWindow
-from .decider import Decider
 from .decisions import Decision
 from .decisions import PaceTask
 from .decisions import StartTask
@@ -28,6 +27,7 @@
 from .pollbudget import PollBudget
 from .pollbudget import PollParameters
 from .right import Right
+from .scheduler import Scheduler
 
 __all__ = ["BoxKeeper"]
 
@@ -61,7 +61,7 @@
         address: str,
         epoch: int,
         boxes: BoxCalls,
-        decider: Decider,
+        scheduler: Scheduler,
         apply: t.Callable[[list[Decision]], None],
         right: Right,
         metrics: NodeMetrics,
@@ -76,7 +76,7 @@
         self._address = address
         self._epoch = epoch
         self._boxes = boxes
-        self._decider = decider
+        self._scheduler = scheduler
         self._apply = apply
         self._right = right
         self._metrics = metrics
@@ -90,7 +90,7 @@
 
     def ends_durable(self, number: int) -> None:
         """The box may forget ends up to ``number``."""
-        box = self._decider.state.boxes.get(self._incarnation)
+        box = self._scheduler.state.boxes.get(self._incarnation)
         if box is not None:
             box.durable_known = max(box.durable_known, number)
             self._durable.set()
@@ -104,7 +104,7 @@
     async def _poll_on(self) -> None:
         failures = 0
         while (parameters := await self._poll()) is not None:
-            box = self._decider.state.boxes.get(self._incarnation)
+            box = self._scheduler.state.boxes.get(self._incarnation)
             if box is None:
                 return
             if box.silent_since is not None:
@@ -124,7 +124,7 @@
         if it came while the last look was under way: its lease must not lapse."""
         if not parameters.pause_s:
             return
-        box = self._decider.state.boxes.get(self._incarnation)
+        box = self._scheduler.state.boxes.get(self._incarnation)
         busy = box is not None and bool(box.tasks)
         if busy and parameters.idle:
             return
@@ -144,7 +144,7 @@
 
     async def _poll(self) -> PollParameters | None:
         """Look once; returns how, or ``None`` if the box is not ours any more."""
-        box = self._decider.state.boxes.get(self._incarnation)
+        box = self._scheduler.state.boxes.get(self._incarnation)
         if box is None:
             return None
         kind = self._budget.opening_kind(box)
@@ -154,14 +154,14 @@
         async with self._budget.opening.turn(kind, self._incarnation) as turn:
             if not await self._poll_once(waits=False):
                 return None
-            box = self._decider.state.boxes.get(self._incarnation)
+            box = self._scheduler.state.boxes.get(self._incarnation)
             answered = box is not None and box.silent_since is None
             turn.ended(answered, time.monotonic())
         return PollParameters(False, 0.0, False)
 
     async def _poll_once(self, waits: bool) -> bool:
         sent = time.monotonic()
-        plan = self._decider.fleet.plan_poll(
+        plan = self._scheduler.fleet.plan_poll(
             self._incarnation, sent, self._right.may_renew()
         )
         if plan is None:
@@ -186,7 +186,7 @@
         if isinstance(outcome, PollResult) and outcome.ended:
             self._metrics.count("ends_listed", len(outcome.ended))
         self._apply(
-            self._decider.fleet.poll_answered(self._incarnation, sent, now, outcome)
+            self._scheduler.fleet.poll_answered(self._incarnation, sent, now, outcome)
         )
         return True
 
@@ -203,12 +203,12 @@
         self._work_came.set()
 
         async def send() -> CommandOutcome:
-            box = self._decider.state.boxes.get(self._incarnation)
+            box = self._scheduler.state.boxes.get(self._incarnation)
             until = None
-            if not self._decider.start_wanted(order, time.monotonic()):
+            if not self._scheduler.start_wanted(order, time.monotonic()):
                 return CommandNotSent("withdrawn")
             if box is not None:
-                until = self._decider.fleet.lease_until(box, time.monotonic())
+                until = self._scheduler.fleet.lease_until(box, time.monotonic())
             if until is None:
                 return CommandNotSent("no lease can be given")
             self._metrics.observe("start_right_age", self._right.age_s())
@@ -226,7 +226,7 @@
         now = time.monotonic()
         self._metrics.observe("order", now - began)
         self._apply(
-            self._decider.start_answered(
+            self._scheduler.start_answered(
                 self._incarnation, order.task, order.run, outcome, now
             )
         )
@@ -237,7 +237,7 @@
 
         outcome = await self._try(send, FIRST)
         self._apply(
-            self._decider.stop_answered(
+            self._scheduler.stop_answered(
                 self._incarnation, order.task, order.run, outcome, time.monotonic()
             )
         )
@@ -249,7 +249,7 @@
             )
 
         if isinstance(await self._send(send, FIRST), BoxNoAnswer):
-            self._decider.pace_unanswered(order)
+            self._scheduler.pace_unanswered(order)
 
     def _order(self, order: StartTask | StopTask | PaceTask) -> TaskCommand:
         return TaskCommand(self._incarnation, self._address, order.task, order.run)
--- a/src/granitetrestle/feeds.py
+++ b/src/granitetrestle/feeds.py
@@ -8,7 +8,6 @@
 import anyio
 
 from . import steadyclock
-from .decider import Decider
 from .decisions import Decision
 from .errors import MalformedDirective
 from .errors import MalformedEntry
@@ -26,6 +25,7 @@
 from .outside import RecordsGone
 from .outside import Store
 from .outside import StoreUnavailable
+from .scheduler import Scheduler
 from .slices import Steps
 from .slices import in_one_go
 
@@ -65,10 +65,10 @@
     """
 
     def __init__(
-        self, sources: Sources, decider: Decider, apply: Apply, log: NodeLog
+        self, sources: Sources, scheduler: Scheduler, apply: Apply, log: NodeLog
     ) -> None:
         self._sources = sources
-        self._decider = decider
+        self._scheduler = scheduler
         self._apply = apply
         self._log = log
         # Offset at which to read on.
@@ -95,9 +95,9 @@
     """The configuration, and which data halls are evacuated."""
 
     def __init__(
-        self, sources: Sources, decider: Decider, apply: Apply, log: NodeLog
+        self, sources: Sources, scheduler: Scheduler, apply: Apply, log: NodeLog
     ) -> None:
-        super().__init__(sources, decider, apply, log)
+        super().__init__(sources, scheduler, apply, log)
         self._heard_at = -1e9
         # Data halls about which an order can't be read.
         self._unreadable: set[str] = set()
@@ -105,7 +105,7 @@
     @property
     def config(self) -> Config | None:
         """The configuration in force."""
-        return self._decider.state.config
+        return self._scheduler.state.config
 
     @property
     def fresh(self) -> bool:
@@ -142,7 +142,7 @@
         """Put what operators ask in force; the newest of all keys are all there is."""
         self._from = outcome.end
         halls, unread = self._decode(outcome.records)
-        evacuation, now = self._decider.evacuation, time.monotonic()
+        evacuation, now = self._scheduler.evacuation, time.monotonic()
         if isinstance(outcome, Newest):
             self._unreadable = unread
             self._apply(evacuation.all_ordered(halls, unread, now))
@@ -168,7 +168,7 @@
                 unread.add(error.hall)
                 continue
             if isinstance(order, Config):
-                self._apply(self._decider.configured(order))
+                self._apply(self._scheduler.configured(order))
             elif order is not None:
                 halls.append(order)
         return halls, unread
@@ -178,9 +178,9 @@
     """The list of boxes."""
 
     def __init__(
-        self, sources: Sources, decider: Decider, apply: Apply, log: NodeLog
+        self, sources: Sources, scheduler: Scheduler, apply: Apply, log: NodeLog
     ) -> None:
-        super().__init__(sources, decider, apply, log)
+        super().__init__(sources, scheduler, apply, log)
         # By their keys: a life that begins under the id of another takes its place.
         self._entries: dict[str, BoxEntry] = {}
         # Keys of entries that name no box to use, as was said.
@@ -230,16 +230,16 @@
                 self._foreign.discard(record.key)
             else:
                 self._entries[record.key] = entry
-        fleet, now = self._decider.fleet, time.monotonic()
+        fleet, now = self._scheduler.fleet, time.monotonic()
         self._apply((yield from fleet.listing(self._usable(), now)))
 
     def _usable(self) -> dict[str, BoxEntry]:
         """Return the boxes that are in use, or of a service that is configured, by life."""
-        config = self._decider.state.config
+        config = self._scheduler.state.config
         if config is None:
             return {entry.incarnation: entry for entry in self._entries.values()}
         services = config.guarded.keys() | {queue.service for queue in config.queues}
-        in_use = self._decider.state.boxes
+        in_use = self._scheduler.state.boxes
         usable: dict[str, BoxEntry] = {}
         for key, entry in self._entries.items():
             if entry.service in services or entry.incarnation in in_use:
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -90,7 +90,7 @@
     ip: str
     address: str
     cores: float
-    decider: SchedulerParameters
+    scheduler: SchedulerParameters
 
 
 class Node:
@@ -441,7 +441,7 @@
 
     async def _lead(self, taken: Taken) -> None:
         session = Session(
-            self._sources, taken, self._parameters.decider, self._log, self._metrics
+            self._sources, taken, self._parameters.scheduler, self._log, self._metrics
         )
         self._session = session
         with anyio.CancelScope() as scope:
@@ -483,7 +483,7 @@
     def figures(self) -> dict[str, float]:
         """Return what this process believes now, for its metrics."""
         session = self._session
-        state = session.decider.state if session is not None else None
+        state = session.scheduler.state if session is not None else None
         load = session.load(time.monotonic()) if session is not None else {}
         return {
             **load,
--- a/src/granitetrestle/platform/process.py
+++ b/src/granitetrestle/platform/process.py
@@ -85,7 +85,7 @@
         ip=settings.ip,
         address=address,
         cores=settings.cores,
-        decider=SchedulerParameters(
+        scheduler=SchedulerParameters(
             lease_s=settings.hold_max_s,
             keep_s=settings.status_s * 1.25,
             connections=settings.max_files - FILES_RESERVED,
--- a/src/granitetrestle/platform/server.py
+++ b/src/granitetrestle/platform/server.py
@@ -98,7 +98,7 @@
     be untrue."""
     if not isinstance(asked, SubmitJob):
         return False
-    return asked.submission.job in session.decider.state.workflows
+    return asked.submission.job in session.scheduler.state.workflows
 
 
 def _come_back(why: str, after_s: int = COME_BACK_S) -> ClientAnswer:
--- a/src/granitetrestle/decider.py
+++ b/src/granitetrestle/scheduler.py
@@ -50,7 +50,7 @@
 from .workflows import Task
 from .workflows import Workflow
 
-__all__ = ["Decider"]
+__all__ = ["Scheduler"]
 
 # After a box refuses for lack of room, or says that it is unwell, it gets nothing
 # new for so long: one look's time, by which its own account is known.
@@ -64,7 +64,7 @@
 LEARNT_EVERY_S: t.Final = 3.0
 
 
-class Decider:
+class Scheduler:
     """State of one shard and its step functions."""
 
     def __init__(
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -16,7 +16,6 @@
 from .comeback import SteadyReturns
 from .commandwindow import CommandWindow
 from .commandwindow import UnlimitedWindow
-from .decider import Decider
 from .decisions import GATED
 from .decisions import AnswerCall
 from .decisions import AskAdvice
@@ -53,6 +52,7 @@
 from .outside import Record
 from .pollbudget import PollBudget
 from .right import JournalRight
+from .scheduler import Scheduler
 from .shardstate import SchedulerParameters
 from .slices import in_slices
 from .statemark import Taken
@@ -92,7 +92,7 @@
         self._parameters = parameters
         self._log = log
         self._metrics = metrics
-        self._decider = Decider(parameters, time.monotonic())
+        self._scheduler = Scheduler(parameters, time.monotonic())
         self._journal = Journal(
             sources.store,
             JOBS_TOPIC,
@@ -109,7 +109,7 @@
         )
         self._lag = LoopLag(steadyclock.now)
         self._right = JournalRight(self._journal, parameters.orphan_s, self._lag)
-        parts = (sources, self._decider, self._apply, log)
+        parts = (sources, self._scheduler, self._apply, log)
         self._operators = OperatorFeed(*parts)
         self._listed = BoxFeed(*parts)
         self._keepers: dict[str, BoxKeeper] = {}
@@ -133,9 +133,9 @@
 
     def load(self, now: float) -> dict[str, float]:
         """Return what waits, and how far behind this process is."""
-        entries = self._decider.state.waiting.values()
+        entries = self._scheduler.state.waiting.values()
         waiting = waiting_tasks(entries, now)
-        causes = self._decider.long_running_waits.causes
+        causes = self._scheduler.long_running_waits.causes
         return {
             **{f"tasks_waiting_{kind}": float(n) for kind, n in waiting.items()},
             **{
@@ -147,7 +147,7 @@
             "loop_lag_s": round(self._lag.lag_s, 3),
             "looks_waiting": float(self._budget.waiting),
             "looks_to_begin": float(self._budget.opening.waiting),
-            "halls_evacuated": float(len(self._decider.state.evacuated_halls)),
+            "halls_evacuated": float(len(self._scheduler.state.evacuated_halls)),
             "orders_unreadable": float(self._operators.unreadable),
             "log_end": float(self._journal.end or 0),
             "right_age_s": round(self._right.age_s(), 3),
@@ -159,9 +159,9 @@
         return self._operators.config
 
     @property
-    def decider(self) -> Decider:
+    def scheduler(self) -> Scheduler:
         """The reducer."""
-        return self._decider
+        return self._scheduler
 
     @property
     def over(self) -> bool:
@@ -219,7 +219,7 @@
         records, end = len(state.records), state.end
         with made_to_stay():
             self._journal.goes_on_from(state.records)
-            restoring = self._decider.restoring(state.records, now)
+            restoring = self._scheduler.restoring(state.records, now)
             del state
             self._apply(await in_slices(restoring))
             self._operators.begin(read[self._sources.config_topic])
@@ -227,7 +227,7 @@
         self._log.event(
             "took_over",
             epoch=self._epoch,
-            jobs=len(self._decider.state.workflows),
+            jobs=len(self._scheduler.state.workflows),
             records=records,
             end=end,
             boxes=len(self._listed),
@@ -310,8 +310,8 @@
             self._loaded_at = now
             self._log.event("load", epoch=self._epoch, **self.load(now))
         wall_ms = time.time_ns() // 1_000_000
-        self._apply(self._decider.decide(now, wall_ms, self._window.room))
-        return self._decider.take_writes()
+        self._apply(self._scheduler.decide(now, wall_ms, self._window.room))
+        return self._scheduler.take_writes()
 
     def _apply(self, decisions: list[Decision]) -> None:
         """Carry out decisions, or hold them back until they are durable."""
@@ -336,7 +336,7 @@
                 self._start(self._advise, decision)
             elif isinstance(decision, StepDown):
                 self._step_down(decision.where)
-        if self._decider.has_writes or self._decider.state.waiting:
+        if self._scheduler.has_writes or self._scheduler.state.waiting:
             self._journal.nudge()
 
     def _watch(self, decision: WatchBox) -> None:
@@ -345,7 +345,7 @@
             decision.address,
             self._epoch,
             self._sources.boxes,
-            self._decider,
+            self._scheduler,
             self._apply,
             self._right,
             self._metrics,
@@ -367,7 +367,7 @@
         if self._sources.advisor is not None:
             step = f"{asked.job}.{asked.occurrence}.{asked.step}"
             advice = await self._sources.advisor.advise(step, asked.incarnations)
-        self._apply(self._decider.advised(asked, advice, time.monotonic()))
+        self._apply(self._scheduler.advised(asked, advice, time.monotonic()))
 
     def _release(self, held: list[t.Any]) -> None:
         self._store_answers()
@@ -377,7 +377,7 @@
             elif isinstance(decision, StartTask | StopTask):
                 self._order(decision)
             elif isinstance(decision, LeasesAgain):
-                self._decider.fleet.leases_again(decision)
+                self._scheduler.fleet.leases_again(decision)
             elif isinstance(decision, EndsKnown):
                 keeper = self._keepers.get(decision.incarnation)
                 if keeper is not None:
@@ -404,7 +404,7 @@
             raise Deposed
         caller = self._callers[request] = _Caller()
         try:
-            self._apply(self._decider.called(request, call, time.monotonic()))
+            self._apply(self._scheduler.called(request, call, time.monotonic()))
             while caller.outcome is None and not self._over:
                 await caller.news.wait()
         finally:
--- a/src/granitetrestle/workflows.py
+++ b/src/granitetrestle/workflows.py
@@ -1,6 +1,6 @@
 """Jobs of several steps: what a client account asked for, how far each task has
 come, and how both are written so that a successor can go on from them. Nothing
-here decides; :mod:`.decider` does."""
+here decides; :mod:`.scheduler` does."""
 
 import typing as t
 
--- a/src/granitetrestle_bench/deciding.py
+++ b/src/granitetrestle_bench/deciding.py
@@ -15,7 +15,6 @@
 from absl import app
 from absl import flags
 
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import Decision
 from granitetrestle.decisions import EndsKnown
 from granitetrestle.decisions import PaceTask
@@ -30,6 +29,7 @@
 from granitetrestle.outside import PollResult
 from granitetrestle.outside import Queue
 from granitetrestle.outside import RunningTask
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -101,7 +101,7 @@
         self.random = random.Random(seed)
         self.share = boxes / FULL_BOXES
         self.now = 100.0
-        self.decider = Decider(SchedulerParameters(), self.now)
+        self.scheduler = Scheduler(SchedulerParameters(), self.now)
         self.numbers = itertools.count(1)
         self.ends: list[tuple[float, str, str, int]] = []
         self.running: dict[str, dict[str, tuple[int, Step]]] = {}
@@ -110,9 +110,9 @@
         self.cancels: list[tuple[float, str]] = []
         self.cost = dict.fromkeys(("decide", "looks", "write"), 0.0)
         self.written = self.starts = 0
-        self.decider.configured(Config(1, QUEUES, {"pool": True}, 262144))
+        self.scheduler.configured(Config(1, QUEUES, {"pool": True}, 262144))
         entries = {entry.incarnation: entry for entry in map(self._entry, range(boxes))}
-        self.decider.fleet.listed(entries, self.now)
+        self.scheduler.fleet.listed(entries, self.now)
         for incarnation in entries:
             (
                 self.running[incarnation],
@@ -161,7 +161,7 @@
             steps.append(step)
         job = f"{next(self.numbers):016x}"
         submission = Submission(job, kind.queue, "pool", "x" * 200, tuple(steps))
-        self._apply(self.decider.called(job, SubmitJob(submission), self.now))
+        self._apply(self.scheduler.called(job, SubmitJob(submission), self.now))
         if kind.queue == "last":
             self.cancels.append((self.now + self.random.uniform(20.0, 120.0), job))
 
@@ -172,7 +172,7 @@
             elif isinstance(decision, StopTask):
                 self._end(decision.incarnation, decision.task, decision.run, "stopped")
             elif isinstance(decision, EndsKnown):
-                box = self.decider.state.boxes[decision.incarnation]
+                box = self.scheduler.state.boxes[decision.incarnation]
                 box.durable_known = decision.number
                 kept = [
                     e for e in self.ended[decision.incarnation] if e.number > box.known
@@ -183,7 +183,7 @@
 
     def _start(self, order: StartTask) -> None:
         self.starts += 1
-        task = self.decider.state.find_task(order.task)
+        task = self.scheduler.state.find_task(order.task)
         assert task is not None
         self.running[order.incarnation][order.task] = (order.run, task.spec)
         if not task.spec.long_running:
@@ -192,7 +192,7 @@
             heapq.heappush(self.ends, end)
         answer = CommandAccepted(int(self.now * 1000))
         self._apply(
-            self.decider.start_answered(
+            self.scheduler.start_answered(
                 order.incarnation, order.task, order.run, answer, self.now
             )
         )
@@ -207,7 +207,7 @@
         )
 
     def _poll(self, incarnation: str) -> None:
-        plan = self.decider.fleet.plan_poll(incarnation, self.now, True)
+        plan = self.scheduler.fleet.plan_poll(incarnation, self.now, True)
         assert plan is not None
         rows = tuple(
             RunningTask(name, run, "", 50, self._figure(step))
@@ -215,7 +215,7 @@
         )
         poll = PollResult(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
         began = time.process_time()
-        decisions = self.decider.fleet.poll_answered(
+        decisions = self.scheduler.fleet.poll_answered(
             incarnation, self.now, self.now, poll
         )
         self.cost["looks"] += time.process_time() - began
@@ -238,7 +238,7 @@
                     self._submit(kind)
             while self.cancels and self.cancels[0][0] <= self.now:
                 job = self.cancels.pop(0)[1]
-                self._apply(self.decider.called(job, CancelJob(job), self.now))
+                self._apply(self.scheduler.called(job, CancelJob(job), self.now))
             while self.ends and self.ends[0][0] <= self.now:
                 self._end(*heapq.heappop(self.ends)[1:], "done")
             for _ in range(each):
@@ -248,9 +248,9 @@
 
     def _decide(self) -> None:
         began = time.process_time()
-        decisions = self.decider.decide(self.now, int(self.now * 1000))
+        decisions = self.scheduler.decide(self.now, int(self.now * 1000))
         decided = time.process_time()
-        records = self.decider.take_writes()
+        records = self.scheduler.take_writes()
         self.cost["decide"] += decided - began
         self.cost["write"] += time.process_time() - decided
         self.written += sum(len(r.key) + len(r.value or b"") for r in records)
@@ -264,7 +264,7 @@
     load.cost = dict.fromkeys(load.cost, 0.0)
     load.written = load.starts = 0
     load.run(seconds)
-    waiting = sum(len(entry.tasks) for entry in load.decider.state.waiting.values())
+    waiting = sum(len(entry.tasks) for entry in load.scheduler.state.waiting.values())
     return DecidingCost(
         boxes,
         round(load.cost["decide"] / seconds, 4),
--- a/src/granitetrestle_bench/takeover.py
+++ b/src/granitetrestle_bench/takeover.py
@@ -297,7 +297,7 @@
             tasks.cancel_scope.cancel()
 
         await session.run(ready)
-    state = session.decider.state
+    state = session.scheduler.state
     running = sum(
         task.state == RUNNING
         for workflow in state.workflows.values()
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -3,7 +3,6 @@
 
 import typing as t
 
-from granitetrestle.decider import Decider
 from granitetrestle.decisions import GATED
 from granitetrestle.decisions import AnswerCall
 from granitetrestle.decisions import Decision
@@ -21,6 +20,7 @@
 from granitetrestle.outside import PollOutcome
 from granitetrestle.outside import Records
 from granitetrestle.outside import Writer
+from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.statemark import Marks
 from granitetrestle.statemark import Taken
@@ -82,16 +82,16 @@
         self._suspended_at: float | None = None
         self.confirmed_at = world.now
         self.sequence = 1
-        self.decider = Decider(world.parameters, world.now)
+        self.scheduler = Scheduler(world.parameters, world.now)
         self.held: list[Decision] = []
         self.notes: list[Noted] = []
         self.looked_at: dict[str, float] = {}
-        self.apply(self.decider.configured(world.config))
+        self.apply(self.scheduler.configured(world.config))
         taken = Taken.record(epoch, f"life-{epoch}")
         world.store.append(JOBS, (taken,), Writer(epoch, 1))
         left = world.store.newest(JOBS).records
         self.marks = Marks(left)
-        self.decider.restore(left, world.now)
+        self.scheduler.restore(left, world.now)
         self.halls_from = -1
         self.read_orders()
         self.list_boxes()
@@ -116,7 +116,7 @@
 
     def read_orders(self) -> None:
         """Take up what operators asked since the last time, or all there is."""
-        store, evacuation = self.world.store, self.decider.evacuation
+        store, evacuation = self.world.store, self.scheduler.evacuation
         if self.world.store_down or self.without_store or self.deaf:
             return
         news = store.read(HALLS, max(0, self.halls_from))
@@ -133,7 +133,7 @@
     def list_boxes(self) -> None:
         """Take up the newest list of boxes."""
         entries = dict(self.world.entries)
-        self.apply(self.decider.fleet.listed(entries, self.now))
+        self.apply(self.scheduler.fleet.listed(entries, self.now))
 
     def apply(self, decisions: t.Sequence[Decision]) -> None:
         """Hold back or carry out decisions."""
@@ -152,16 +152,16 @@
         if self.over or self.frozen:
             return
         self.read_orders()
-        self.apply(self.decider.decide(self.now, int(self.now * 1000)))
+        self.apply(self.scheduler.decide(self.now, int(self.now * 1000)))
         self._write()
-        for incarnation in list(self.decider.state.boxes):
+        for incarnation in list(self.scheduler.state.boxes):
             if not self.over:
                 self._poll(incarnation)
 
     def _write(self) -> None:
         if self.world.store_down or self.without_store:
             return
-        records = self.marks.marked(self.decider.take_writes())
+        records = self.marks.marked(self.scheduler.take_writes())
         writer = Writer(self.epoch, self.sequence + 1)
         outcome = self.world.store.append(JOBS, records, writer)
         if not isinstance(outcome, Appended):
@@ -179,9 +179,9 @@
         elif isinstance(decision, AnswerCall):
             self.world.answered(decision)
         elif isinstance(decision, LeasesAgain):
-            self.decider.fleet.leases_again(decision)
+            self.scheduler.fleet.leases_again(decision)
         elif isinstance(decision, EndsKnown):
-            box = self.decider.state.boxes.get(decision.incarnation)
+            box = self.scheduler.state.boxes.get(decision.incarnation)
             if box is not None:
                 box.durable_known = max(box.durable_known, decision.number)
 
@@ -191,8 +191,8 @@
             return
         self.looked_at[incarnation] = now
         renew = now - self.confirmed_at < self.world.parameters.orphan_s
-        plan = self.decider.fleet.plan_poll(incarnation, now, renew)
+        plan = self.scheduler.fleet.plan_poll(incarnation, now, renew)
         if plan is None:
             return
         outcome = self.world.poll(self, incarnation, plan.known, plan.lease_ends_ms)
-        self.apply(self.decider.fleet.poll_answered(incarnation, now, now, outcome))
+        self.apply(self.scheduler.fleet.poll_answered(incarnation, now, now, outcome))
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -233,7 +233,7 @@
         self._asked[request] = call
         if not self.leader.over and not self.leader.frozen:
             leader = self.leader
-            leader.apply(leader.decider.called(request, call, leader.now))
+            leader.apply(leader.scheduler.called(request, call, leader.now))
 
     def answered(self, decision: AnswerCall) -> None:
         """Note what a caller was told."""
@@ -246,14 +246,14 @@
     def send(self, sender: DeciderProcess, order: Order) -> None:
         """Carry an order to its box, or lose it, or let it come late."""
         draw = self.random.random()
-        box = sender.decider.state.boxes.get(order.incarnation)
+        box = sender.scheduler.state.boxes.get(order.incarnation)
         until = 0
         if isinstance(order, StartTask) and box is not None:
-            if not sender.decider.start_wanted(order, sender.now):
+            if not sender.scheduler.start_wanted(order, sender.now):
                 self._not_sent(sender, order)
                 return
             self._judge_hall(order)
-            until = sender.decider.fleet.lease_until(box, sender.now) or 0
+            until = sender.scheduler.fleet.lease_until(box, sender.now) or 0
         if draw < self.late_share:
             at = self.now + self.random.uniform(0.2, 6.0)
             self._late.append(_Late(at, sender.epoch, until, order))
@@ -264,16 +264,16 @@
             outcome = self._carry_out(order, until, sender.epoch)
             if draw > 1.0 - self.lost_share:
                 outcome = BoxNoAnswer("answer lost")
-        decider = sender.decider
+        scheduler = sender.scheduler
         if isinstance(order, StartTask):
             sender.apply(
-                decider.start_answered(
+                scheduler.start_answered(
                     order.incarnation, order.task, order.run, outcome, sender.now
                 )
             )
         elif isinstance(order, StopTask):
             sender.apply(
-                decider.stop_answered(
+                scheduler.stop_answered(
                     order.incarnation, order.task, order.run, outcome, sender.now
                 )
             )
@@ -281,7 +281,7 @@
     def _not_sent(self, sender: DeciderProcess, order: StartTask) -> None:
         outcome = CommandNotSent("withdrawn")
         sender.apply(
-            sender.decider.start_answered(
+            sender.scheduler.start_answered(
                 order.incarnation, order.task, order.run, outcome, sender.now
             )
         )
@@ -456,7 +456,7 @@
                     raise PromiseBroken(f"{run.task} began before step {earlier}")
 
     def _cancel_lasting(self) -> None:
-        for job, workflow in list(self.leader.decider.state.workflows.items()):
+        for job, workflow in list(self.leader.scheduler.state.workflows.items()):
             lasts = any(step.long_running for step in workflow.submission.steps)
             if lasts and not workflow.terminal:
                 self.cancel(job)
@@ -489,7 +489,7 @@
         self.store_down = False
         if self.leader.over or self.leader.frozen:
             self.take_over()
-        state = self.leader.decider.state
+        state = self.leader.scheduler.state
         while seconds > 0 and not all(w.terminal for w in state.workflows.values()):
             self._cancel_lasting()
             self.advance(1.0)
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -8,9 +8,9 @@
     Mutant(
         "native: a start that was held back is sent whatever became of its task",
         (
-            ("decider.py", "wanted = task.state == STARTING and", "wanted ="),
+            ("scheduler.py", "wanted = task.state == STARTING and", "wanted ="),
             (
-                "decider.py",
+                "scheduler.py",
                 "if task is None or task.run != order.run or task.box != order.incarnation:",
                 "if False:",
             ),
@@ -32,7 +32,7 @@
         "native: a start in doubt is given up without a stop",
         (
             (
-                "decider.py",
+                "scheduler.py",
                 "        return [noted, *self._progress.stop(task, now)]",
                 "        self._progress.requeue(task)\n        return [noted]",
             ),
@@ -148,7 +148,7 @@
     ),
     Mutant(
         "native: a start goes to a box whose room shrank",
-        (("decider.py", " or box.over_room", ""),),
+        (("scheduler.py", " or box.over_room", ""),),
         "native_decider",
     ),
     Mutant(
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -45,7 +45,7 @@
     ),
     Mutant(
         "native: starts that were held back are sent into an evacuated hall",
-        (("decider.py", "or box.evacuated or", "or"),),
+        (("scheduler.py", "or box.evacuated or", "or"),),
         "native_evacuation",
     ),
     Mutant(
@@ -63,12 +63,12 @@
         "native: starts go on without news of operators",
         (
             (
-                "decider.py",
+                "scheduler.py",
                 "        if not self._evacuation.up_to_date(now):\n            return effects\n",
                 "",
             ),
             (
-                "decider.py",
+                "scheduler.py",
                 "wanted = task.state == STARTING and self._evacuation.up_to_date(now)",
                 "wanted = task.state == STARTING",
             ),
