--- a/features/session_world.py
+++ b/features/session_world.py
@@ -8,15 +8,15 @@
 
 import anyio
 
+from granitetrestle.interfaces import Appended
+from granitetrestle.interfaces import BoxCalls
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import Config
+from granitetrestle.interfaces import Queue
+from granitetrestle.interfaces import Record
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.nodelog import NodeLog
 from granitetrestle.nodemetrics import NodeMetrics
-from granitetrestle.outside import Appended
-from granitetrestle.outside import BoxCalls
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import Config
-from granitetrestle.outside import Queue
-from granitetrestle.outside import Record
 from granitetrestle.session import Session
 from granitetrestle.session import Sources
 from granitetrestle.shardstate import SchedulerParameters
--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -5,10 +5,10 @@
 from behave import when
 
 from granitetrestle.decisions import StartTask
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import PollResult
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import PollResult
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
--- a/features/steps/box_standin_steps.py
+++ b/features/steps/box_standin_steps.py
@@ -9,8 +9,8 @@
 from behave import then
 from behave import when
 
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import CommandRejected
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import CommandRejected
 from granitetrestle_standins import boxserver
 from granitetrestle_standins.boxprofiles import PLAIN_BOX
 from granitetrestle_standins.boxprofiles import BoxProfile
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -20,12 +20,12 @@
 from granitetrestle.commandwindow import UnlimitedWindow
 from granitetrestle.decisions import StartTask
 from granitetrestle.fleet import PollPlan
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import BoxNoAnswer
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import PollResult
 from granitetrestle.looplag import LoopLag
 from granitetrestle.nodemetrics import NodeMetrics
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import BoxNoAnswer
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import PollResult
 from granitetrestle.peerlink import PeerLink
 from granitetrestle.pollbudget import PollBudget
 from granitetrestle_standins.nativecluster import free_port
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -11,19 +11,19 @@
 from granitetrestle.commandwindow import SHORT
 from granitetrestle.commandwindow import CommandWindow
 from granitetrestle.decisions import AskAdvice
-from granitetrestle.decisions import Noted
+from granitetrestle.decisions import LogEvent
 from granitetrestle.decisions import StopTask
 from granitetrestle.errors import MalformedDirective
+from granitetrestle.interfaces import Advice
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import BoxNoAnswer
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import Config
+from granitetrestle.interfaces import HallDirective
+from granitetrestle.interfaces import PollResult
+from granitetrestle.interfaces import Queue
+from granitetrestle.interfaces import Record
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.outside import Advice
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import BoxNoAnswer
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import Config
-from granitetrestle.outside import HallDirective
-from granitetrestle.outside import PollResult
-from granitetrestle.outside import Queue
-from granitetrestle.outside import Record
 from granitetrestle.platform.front import decode_directive
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
@@ -511,7 +511,7 @@
     scheduler, now = context.halls.scheduler, context.halls.now
     outcome = BoxNoAnswer("no answer in time")
     context.given = scheduler.start_answered(context.at, "00bb.0.0.0", 1, outcome, now)
-    assert [type(decision) for decision in context.given] == [Noted, StopTask]
+    assert [type(decision) for decision in context.given] == [LogEvent, StopTask]
 
 
 @when("each look waits {wait:g} seconds for an end, and each stop is answered at once")
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -19,11 +19,11 @@
 from granitetrestle.errors import InvalidInput
 from granitetrestle.feeds import BoxFeed
 from granitetrestle.feeds import Sources
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import Newest
-from granitetrestle.outside import PollResult
-from granitetrestle.outside import Record
-from granitetrestle.outside import Records
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import Newest
+from granitetrestle.interfaces import PollResult
+from granitetrestle.interfaces import Record
+from granitetrestle.interfaces import Records
 from granitetrestle.platform.boxes import decode_entry
 from granitetrestle.platform.front import QueueIndex
 from granitetrestle.platform.front import decode_call
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -8,10 +8,10 @@
 from room_steps import SERVING
 from room_steps import Desk
 
+from granitetrestle.interfaces import BoxNoAnswer
+from granitetrestle.interfaces import EndedRun
+from granitetrestle.interfaces import HallDirective
 from granitetrestle.mechanisms import Mechanism
-from granitetrestle.outside import BoxNoAnswer
-from granitetrestle.outside import EndedRun
-from granitetrestle.outside import HallDirective
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import Step
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -10,19 +10,19 @@
 
 from granitetrestle.comeback import FollowingOutage
 from granitetrestle.comeback import SteadyReturns
-from granitetrestle.decisions import EndsKnown
+from granitetrestle.decisions import AcknowledgeEnds
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StopTask
 from granitetrestle.dispatch import ANY_NUMBER
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import Config
+from granitetrestle.interfaces import EndedRun
+from granitetrestle.interfaces import PollResult
+from granitetrestle.interfaces import Queue
+from granitetrestle.interfaces import RunningTask
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.mechanisms import Mechanism
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import Config
-from granitetrestle.outside import EndedRun
-from granitetrestle.outside import PollResult
-from granitetrestle.outside import Queue
-from granitetrestle.outside import RunningTask
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.waitingorder import waiting_tasks
@@ -146,7 +146,7 @@
                 )
             elif isinstance(decision, StopTask):
                 raise AssertionError(decision)
-            elif isinstance(decision, EndsKnown):
+            elif isinstance(decision, AcknowledgeEnds):
                 self.ended[decision.incarnation].clear()
 
     def poll(self, incarnation):
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -7,9 +7,9 @@
 from behave import then
 from behave import when
 
+from granitetrestle.interfaces import Appended
+from granitetrestle.interfaces import Writer
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.outside import Appended
-from granitetrestle.outside import Writer
 from granitetrestle.statemark import Taken
 from granitetrestle.succession import JOBS_TOPIC
 from granitetrestle.workflows import Step
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -12,12 +12,12 @@
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StopTask
 from granitetrestle.incarnations import box_id_of
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import BoxReplaced
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import PollResult
+from granitetrestle.interfaces import RunningTask
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import BoxReplaced
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import PollResult
-from granitetrestle.outside import RunningTask
 from granitetrestle.platform.advice import PlatformAdvisor
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.workflows import RUNNING
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -12,13 +12,13 @@
 from granitetrestle.commandwindow import UnlimitedWindow
 from granitetrestle.decisions import StartTask
 from granitetrestle.fleet import PollPlan
+from granitetrestle.interfaces import BoxNoAnswer
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import CommandNotSent
 from granitetrestle.jobcalls import CancelJob
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.looplag import LoopLag
 from granitetrestle.nodemetrics import NodeMetrics
-from granitetrestle.outside import BoxNoAnswer
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import CommandNotSent
 from granitetrestle.pollbudget import PollBudget
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -15,11 +15,11 @@
 
 from granitetrestle.calls import Caller
 from granitetrestle.calls import Reply
+from granitetrestle.interfaces import BoxCalls
+from granitetrestle.interfaces import Newest
+from granitetrestle.interfaces import Record
 from granitetrestle.newestread import read_newest
 from granitetrestle.nodemetrics import NodeMetrics
-from granitetrestle.outside import BoxCalls
-from granitetrestle.outside import Newest
-from granitetrestle.outside import Record
 from granitetrestle.platform.boxes import decode_entry
 from granitetrestle.platform.front import decode_directive
 from granitetrestle.platform.store import CONFIG_TOPIC
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -9,13 +9,13 @@
 from granitetrestle.boxlife import BoxKeeper
 from granitetrestle.commandwindow import CommandWindow
 from granitetrestle.decisions import StopTask
+from granitetrestle.interfaces import BoxCalls
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import RunningTask
 from granitetrestle.interference import Interference
 from granitetrestle.looplag import LoopLag
 from granitetrestle.nodemetrics import NodeMetrics
-from granitetrestle.outside import BoxCalls
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import RunningTask
 from granitetrestle.overload import bearable_pace
 from granitetrestle.overload import box_load
 from granitetrestle.pacing import StepLoads
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -5,13 +5,13 @@
 from behave import then
 from behave import when
 
-from granitetrestle.decisions import Noted
+from granitetrestle.decisions import LogEvent
 from granitetrestle.decisions import StartTask
+from granitetrestle.interfaces import Record
+from granitetrestle.interfaces import Writer
 from granitetrestle.jobcalls import CancelJob
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.jobrecords import GROUP_SIZE
-from granitetrestle.outside import Record
-from granitetrestle.outside import Writer
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import DONE
@@ -168,7 +168,7 @@
     restored = Scheduler(SchedulerParameters(), world.now).restore(
         world.store.newest(JOBS).records, world.now
     )
-    context.noted = [note for note in restored if isinstance(note, Noted)]
+    context.noted = [note for note in restored if isinstance(note, LogEvent)]
     world.take_over()
 
 
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -13,12 +13,12 @@
 
 from granitetrestle.calls import Caller
 from granitetrestle.errors import MalformedEntry
-from granitetrestle.outside import BoxNoAnswer
-from granitetrestle.outside import BoxReplaced
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import PollResult
-from granitetrestle.outside import Record
-from granitetrestle.outside import TaskCommand
+from granitetrestle.interfaces import BoxNoAnswer
+from granitetrestle.interfaces import BoxReplaced
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import PollResult
+from granitetrestle.interfaces import Record
+from granitetrestle.interfaces import TaskCommand
 from granitetrestle.platform.boxes import PlatformBoxes
 from granitetrestle.platform.boxes import decode_entry
 from granitetrestle_standins.nativecluster import NativeCluster
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -13,20 +13,20 @@
 from behave import when
 
 from granitetrestle.boxes import BoxView
-from granitetrestle.decisions import Noted
+from granitetrestle.decisions import LogEvent
 from granitetrestle.decisions import StartTask
 from granitetrestle.errors import UnknownMechanism
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import Config
+from granitetrestle.interfaces import EndedRun
+from granitetrestle.interfaces import PollResult
+from granitetrestle.interfaces import Queue
+from granitetrestle.interfaces import RunningTask
 from granitetrestle.interference import Interference
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.mechanisms import Mechanism
 from granitetrestle.mechanisms import parse_switched_off
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import Config
-from granitetrestle.outside import EndedRun
-from granitetrestle.outside import PollResult
-from granitetrestle.outside import Queue
-from granitetrestle.outside import RunningTask
 from granitetrestle.overload import bearable_stretch
 from granitetrestle.progress import Progress
 from granitetrestle.scheduler import Scheduler
@@ -102,7 +102,7 @@
                     CommandAccepted(1),
                     self.now,
                 )
-            elif isinstance(decision, Noted):
+            elif isinstance(decision, LogEvent):
                 self.notes.append(decision)
 
     def submit(self, job, *steps):
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -7,9 +7,9 @@
 
 from granitetrestle.decisions import AskAdvice
 from granitetrestle.decisions import StartTask
+from granitetrestle.interfaces import Advice
+from granitetrestle.interfaces import PollResult
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.outside import Advice
-from granitetrestle.outside import PollResult
 from granitetrestle.packing import Packer
 from granitetrestle.packing import Ranking
 from granitetrestle.scheduler import Scheduler
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -19,14 +19,14 @@
 from granitetrestle.calls import Reply
 from granitetrestle.comeback import SteadyReturns
 from granitetrestle.forwarding import ClientCall
+from granitetrestle.interfaces import Config
+from granitetrestle.interfaces import Queue
+from granitetrestle.interfaces import Record
 from granitetrestle.journal import Journal
 from granitetrestle.leadership import Leadership
 from granitetrestle.looplag import LoopLag
 from granitetrestle.messages import LeaderResigned
 from granitetrestle.messages import NodeStatus
-from granitetrestle.outside import Config
-from granitetrestle.outside import Queue
-from granitetrestle.outside import Record
 from granitetrestle.peerlink import PeerLink
 from granitetrestle.platform.server import FrontResponder
 from granitetrestle.platform.store import PlatformStore
--- a/features/steps/store_reading_steps.py
+++ b/features/steps/store_reading_steps.py
@@ -9,10 +9,10 @@
 from behave import then
 from behave import when
 
+from granitetrestle.interfaces import Appended
+from granitetrestle.interfaces import Record
+from granitetrestle.interfaces import Writer
 from granitetrestle.journal import Journal
-from granitetrestle.outside import Appended
-from granitetrestle.outside import Record
-from granitetrestle.outside import Writer
 from granitetrestle.statemark import MARK_KEY
 from granitetrestle.workflows import Step
 from granitetrestle_standins.nativestore import MemoryStore
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -7,8 +7,8 @@
 from behave import then
 from behave import when
 
+from granitetrestle.interfaces import NumberTaken
 from granitetrestle.nodelog import NodeLog
-from granitetrestle.outside import NumberTaken
 from granitetrestle.statemark import Taken
 from granitetrestle.succession import NotRead
 from granitetrestle.succession import StateRead
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -7,17 +7,17 @@
 from behave import given
 from behave import then
 
-from granitetrestle.decisions import EndsKnown
+from granitetrestle.decisions import AcknowledgeEnds
 from granitetrestle.decisions import StartTask
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import Config
+from granitetrestle.interfaces import EndedRun
+from granitetrestle.interfaces import PollResult
+from granitetrestle.interfaces import Queue
+from granitetrestle.interfaces import RunningTask
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.mechanisms import Mechanism
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import Config
-from granitetrestle.outside import EndedRun
-from granitetrestle.outside import PollResult
-from granitetrestle.outside import Queue
-from granitetrestle.outside import RunningTask
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.shardstate import WaitingStep
@@ -125,7 +125,7 @@
         for decision in decisions:
             if isinstance(decision, StartTask):
                 self.start(decision)
-            elif isinstance(decision, EndsKnown):
+            elif isinstance(decision, AcknowledgeEnds):
                 self.ended[decision.incarnation].clear()
 
     def start(self, order):
--- a/src/granitetrestle/boxes.py
+++ b/src/granitetrestle/boxes.py
@@ -3,8 +3,8 @@
 
 import typing as t
 
-from .outside import BoxEntry
-from .outside import RunningTask
+from .interfaces import BoxEntry
+from .interfaces import RunningTask
 from .serviceload import StepLoad
 from .workflows import Step
 from .workflows import Task
@@ -111,7 +111,7 @@
         self.lease_ends = lease_ends
         self.silent_since = None
         self.closed_until = 0.0
-        self.aside_until = 0.0
+        self.quarantined_until = 0.0
         self._aside_since = 0.0
         self._failed_at = 0.0
         self.evacuated = False
@@ -158,9 +158,9 @@
         """Say whether new tasks may go here."""
         return self.reachable and not self.evacuated and now >= self.closed_until
 
-    def is_aside(self, now: float) -> bool:
+    def is_quarantined(self, now: float) -> bool:
         """Say whether nothing but failed runs keeps new tasks away."""
-        pausing = now < self.aside_until == self.closed_until
+        pausing = now < self.quarantined_until == self.closed_until
         return pausing and self.reachable and not self.evacuated
 
     def takes_trial(self, now: float) -> bool:
@@ -235,7 +235,7 @@
             self._quarantine_s = QUARANTINE_S
             return False
         self._failed_at = now
-        if now < self.aside_until:
+        if now < self.quarantined_until:
             # It says nothing new: runs that fail together would lengthen the pause each,
             # and keep lasting work away that has room nowhere else.
             return False
@@ -244,7 +244,7 @@
         if self._failed_runs < in_a_row or len(self._failed_jobs) < 2:
             return False
         self._aside_since = now
-        self.closed_until = self.aside_until = now + self._quarantine_s
+        self.closed_until = self.quarantined_until = now + self._quarantine_s
         self._quarantine_s = min(MAX_QUARANTINE_S, self._quarantine_s * 2)
         # One more failure after the pause is enough to close it again.
         self._failed_runs = in_a_row - 1
--- a/src/granitetrestle/boxindex.py
+++ b/src/granitetrestle/boxindex.py
@@ -23,18 +23,18 @@
 
     def __init__(self) -> None:
         self.boxes: dict[str, BoxView] = {}
-        self.aside: dict[str, BoxView] = {}
+        self.quarantined: dict[str, BoxView] = {}
         self.sequence = 0
         # Life -> sequence of its last change, the newest last.
         self._changed: collections.OrderedDict[str, int] = collections.OrderedDict()
 
-    def set(self, box: "BoxView", is_open: bool, is_aside: bool = False) -> None:
+    def set(self, box: "BoxView", is_open: bool, is_quarantined: bool = False) -> None:
         """Take up a change of a box."""
         incarnation = box.incarnation
-        if is_aside:
-            self.aside[incarnation] = box
+        if is_quarantined:
+            self.quarantined[incarnation] = box
         else:
-            self.aside.pop(incarnation, None)
+            self.quarantined.pop(incarnation, None)
         if is_open:
             self.boxes[incarnation] = box
         elif self.boxes.pop(incarnation, None) is None:
@@ -128,7 +128,7 @@
                 self._pools[before].set(box, False)
             self._pool_of[incarnation] = service
             pool = self.pool(service)
-            pool.set(box, box.open_for_work(now), box.is_aside(now))
+            pool.set(box, box.open_for_work(now), box.is_quarantined(now))
             if box.closed_until > now:
                 entry = (box.closed_until, next(self._numbers), box)
                 heapq.heappush(self._reopen, entry)
--- a/src/granitetrestle/boxnotes.py
+++ b/src/granitetrestle/boxnotes.py
@@ -1,15 +1,15 @@
 """Log lines about what is seen of boxes."""
 
 from .boxes import BoxView
-from .decisions import Noted
-from .outside import PollResult
+from .decisions import LogEvent
+from .interfaces import PollResult
 from .workflows import STATE_NAMES
 from .workflows import Task
 
 __all__ = ["contradictions", "run_lost"]
 
 
-def contradictions(box: BoxView, poll: PollResult) -> list[Noted]:
+def contradictions(box: BoxView, poll: PollResult) -> list[LogEvent]:
     """Note what one life of a box never does: its clock goes back, or it lists an end
     that it was told is known. The first is noted each time, the second once."""
     passed_over = sum(row.number <= box.told_known for row in poll.ended)
@@ -23,10 +23,10 @@
         "ends": passed_over,
         "told_known": box.told_known,
     }
-    return [Noted("box_contradicts_itself", box.incarnation, inputs)]
+    return [LogEvent("box_contradicts_itself", box.incarnation, inputs)]
 
 
-def run_lost(box: BoxView, task: Task, suspected: bool, now: float) -> Noted:
+def run_lost(box: BoxView, task: Task, suspected: bool, now: float) -> LogEvent:
     """Return the line about a run that was lost with its box; times are from its start
     to the box's last answer, and to when the box fell silent."""
     silent_at = now if box.silent_since is None else box.silent_since
@@ -40,4 +40,4 @@
         "seen_s": round(max(0.0, box.clock_at - task.started_at), 3),
         "silent_after_s": round(max(0.0, silent_at - task.started_at), 3),
     }
-    return Noted("run_lost", task.name, inputs)
+    return LogEvent("run_lost", task.name, inputs)
--- a/src/granitetrestle/decisions.py
+++ b/src/granitetrestle/decisions.py
@@ -9,10 +9,10 @@
     "AnswerCall",
     "AskAdvice",
     "Decision",
-    "EndsKnown",
-    "LeasesAgain",
+    "AcknowledgeEnds",
+    "ResumeLeases",
     "LeaveBox",
-    "Noted",
+    "LogEvent",
     "PaceTask",
     "StartTask",
     "StepDown",
@@ -49,14 +49,14 @@
     run: int
 
 
-class EndsKnown(t.NamedTuple):
+class AcknowledgeEnds(t.NamedTuple):
     """A box may forget ends up to ``number``. Gated."""
 
     incarnation: str
     number: int
 
 
-class LeasesAgain(t.NamedTuple):
+class ResumeLeases(t.NamedTuple):
     """Leases of a box may be renewed again. Gated: see :mod:`.leaserights`.
 
     :param change: number of this change.
@@ -109,7 +109,7 @@
     where: str
 
 
-class Noted(t.NamedTuple):
+class LogEvent(t.NamedTuple):
     """A decision or a changed belief, for the log.
 
     :param subject: the job, task or box concerned.
@@ -125,15 +125,15 @@
     AnswerCall
     | StartTask
     | StopTask
-    | EndsKnown
-    | LeasesAgain
+    | AcknowledgeEnds
+    | ResumeLeases
     | PaceTask
     | AskAdvice
     | WatchBox
     | LeaveBox
     | WithdrawStarts
     | StepDown
-    | Noted
+    | LogEvent
 )
 
-GATED: t.Final = (AnswerCall, StartTask, StopTask, EndsKnown, LeasesAgain)
+GATED: t.Final = (AnswerCall, StartTask, StopTask, AcknowledgeEnds, ResumeLeases)
--- a/src/granitetrestle/dispatch.py
+++ b/src/granitetrestle/dispatch.py
@@ -15,14 +15,14 @@
 from .crashloops import Trials
 from .decisions import AskAdvice
 from .decisions import Decision
-from .decisions import Noted
+from .decisions import LogEvent
 from .decisions import StartTask
 from .headroom import Headroom
 from .headroom import KeptBoxes
 from .headroom import NoHeadroom
+from .interfaces import Advice
+from .interfaces import AdviceUnavailable
 from .mechanisms import Mechanism
-from .outside import Advice
-from .outside import AdviceUnavailable
 from .pacing import slowed_tasks
 from .packing import FirstBox
 from .packing import KeepApart
@@ -221,14 +221,19 @@
                 box = least_filled(self._ticketed(entry, search.able()))
                 if box is not None:
                     search.taken(box)
-            if box is None and step.long_running and pool.aside and not search.able():
+            if (
+                box is None
+                and step.long_running
+                and pool.quarantined
+                and not search.able()
+            ):
                 box = self._trial_box(entry, task, pool, now)
                 if box is not None:
                     inputs = {
                         "task": task.name,
-                        "left_s": round(box.aside_until - now, 2),
+                        "left_s": round(box.quarantined_until - now, 2),
                     }
-                    effects.append(Noted("box_tried", box.incarnation, inputs))
+                    effects.append(LogEvent("box_tried", box.incarnation, inputs))
             if box is None:
                 # What lasts must be looked at each time: how long there has been room
                 # for it counts.
@@ -247,7 +252,7 @@
         lasts would wait for the end of the pause."""
         able = [
             box
-            for box in self._ticketed(entry, pool.aside.values())
+            for box in self._ticketed(entry, pool.quarantined.values())
             if box.takes_trial(now) and suits(entry.spec, task, box)
         ]
         ranking = self.packer.ranking(task, self._state.interference, now)
@@ -328,7 +333,7 @@
         entry.asked_at = now
         candidates = list(pool.boxes.values())
         if entry.spec.long_running:
-            candidates += pool.aside.values()
+            candidates += pool.quarantined.values()
         # Which boxes are good for a step does not change. Where none of the roomiest was,
         # as among idle boxes, the same ones were asked about for ever.
         boxes = [box for box in candidates if box.incarnation not in entry.unfit]
@@ -346,7 +351,7 @@
         """Apply what came of asking which boxes may run a step."""
         name = f"{asked.job}.{asked.occurrence}.{asked.step}"
         if isinstance(advice, AdviceUnavailable):
-            return [Noted("advice_failed", name, {"reason": advice.reason})]
+            return [LogEvent("advice_failed", name, {"reason": advice.reason})]
         entry = self._state.waiting.get((asked.job, asked.occurrence, asked.step))
         if entry is not None:
             entry.tickets = advice.tickets
@@ -356,7 +361,7 @@
             valid_s = advice.valid_s * ADVICE_USED if advice.tickets else 0.0
             entry.advice_until = now + valid_s
         inputs = {"asked": len(asked.incarnations), "good": len(advice.tickets)}
-        return [Noted("advised", name, inputs)]
+        return [LogEvent("advised", name, inputs)]
 
     def _place_gang(
         self, entry: WaitingStep, step: Step, pool: Pool, now: float
@@ -434,7 +439,7 @@
             if box is not None:
                 inputs = {"from": task.box, "to": box.incarnation, "pace": task.pace}
                 return [
-                    Noted("moved_for_targets", task.name, inputs),
+                    LogEvent("moved_for_targets", task.name, inputs),
                     *self._progress.stop(task, now),
                 ]
             self._no_better[task.spec.image] = (task.spec.cpu, now)
@@ -458,7 +463,7 @@
 
 
 def _has_boxes(pool: Pool, step: Step) -> bool:
-    return bool(pool.boxes or (step.long_running and pool.aside))
+    return bool(pool.boxes or (step.long_running and pool.quarantined))
 
 
 def _default_packer(state: ShardState) -> Packer:
--- a/src/granitetrestle/evacuation.py
+++ b/src/granitetrestle/evacuation.py
@@ -8,9 +8,9 @@
 import typing as t
 
 from .decisions import Decision
-from .decisions import Noted
+from .decisions import LogEvent
 from .decisions import WithdrawStarts
-from .outside import HallDirective
+from .interfaces import HallDirective
 from .shardstate import ShardState
 
 __all__ = ["Evacuation"]
@@ -45,13 +45,13 @@
                 return []
             held_s = round(now - self._held_since, 2)
             self._held_since = None
-            return [Noted("starts_go_on", "operators", {"held_s": held_s})]
+            return [LogEvent("starts_go_on", "operators", {"held_s": held_s})]
         if self._held_since is not None:
             return []
         self._held_since = now
         assert self._heard_at is not None
         inputs = {"unheard_s": round(now - self._heard_at, 2)}
-        return [Noted("starts_held", "operators", inputs)]
+        return [LogEvent("starts_held", "operators", inputs)]
 
     def ordered(self, orders: t.Iterable[HallDirective], now: float) -> list[Decision]:
         """Put orders in force, in the order given."""
@@ -93,11 +93,11 @@
             "boxes_left": sum(not box.evacuated for box in self._state.boxes.values()),
         }
         if not order.evacuated:
-            return [Noted("hall_restored", order.hall, inputs)]
+            return [LogEvent("hall_restored", order.hall, inputs)]
         incarnations = frozenset(box.incarnation for box in boxes)
         self._ask_again(incarnations, now)
         return [
-            Noted("hall_evacuated", order.hall, inputs),
+            LogEvent("hall_evacuated", order.hall, inputs),
             WithdrawStarts(incarnations),
         ]
 
--- a/src/granitetrestle/feeds.py
+++ b/src/granitetrestle/feeds.py
@@ -11,23 +11,23 @@
 from .decisions import Decision
 from .errors import MalformedDirective
 from .errors import MalformedEntry
+from .interfaces import Advisor
+from .interfaces import BoxCalls
+from .interfaces import BoxEntry
+from .interfaces import Config
+from .interfaces import HallDirective
+from .interfaces import Newest
+from .interfaces import NewestUnavailable
+from .interfaces import Record
+from .interfaces import Records
+from .interfaces import RecordsGone
+from .interfaces import Store
+from .interfaces import StoreUnavailable
 from .newestread import read_newest
 from .nodelog import NodeLog
-from .outside import Advisor
-from .outside import BoxCalls
-from .outside import BoxEntry
-from .outside import Config
-from .outside import HallDirective
-from .outside import Newest
-from .outside import NewestUnavailable
-from .outside import Record
-from .outside import Records
-from .outside import RecordsGone
-from .outside import Store
-from .outside import StoreUnavailable
 from .scheduler import Scheduler
-from .slices import Steps
-from .slices import in_one_go
+from .slices import SlicedWork
+from .slices import run_to_completion
 
 __all__ = ["BoxFeed", "OperatorFeed", "Sources"]
 
@@ -191,9 +191,9 @@
 
     def begin(self, newest: Newest) -> None:
         """See :meth:`_Feed.begin`."""
-        in_one_go(self.beginning(newest))
+        run_to_completion(self.beginning(newest))
 
-    def beginning(self, newest: Newest) -> Steps[None]:
+    def beginning(self, newest: Newest) -> SlicedWork[None]:
         """Take up all there is, a box at a step."""
         self._from = newest.end
         yield from self._taking(newest.records)
@@ -215,9 +215,9 @@
             self._take(outcome.records)
 
     def _take(self, records: t.Iterable[Record]) -> None:
-        in_one_go(self._taking(records))
+        run_to_completion(self._taking(records))
 
-    def _taking(self, records: t.Iterable[Record]) -> Steps[None]:
+    def _taking(self, records: t.Iterable[Record]) -> SlicedWork[None]:
         for record in records:
             yield
             self._entries.pop(record.key, None)
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -13,27 +13,27 @@
 from .crashloops import has_just_begun
 from .crashloops import is_given_up
 from .crashloops import may_have_crashed
+from .decisions import AcknowledgeEnds
 from .decisions import Decision
-from .decisions import EndsKnown
-from .decisions import LeasesAgain
 from .decisions import LeaveBox
-from .decisions import Noted
+from .decisions import LogEvent
 from .decisions import PaceTask
+from .decisions import ResumeLeases
 from .decisions import StepDown
 from .decisions import StopTask
 from .decisions import WatchBox
+from .interfaces import BoxEntry
+from .interfaces import BoxReplaced
+from .interfaces import CommandRejected
+from .interfaces import PollOutcome
+from .interfaces import PollResult
 from .mechanisms import Mechanism
-from .outside import BoxEntry
-from .outside import BoxReplaced
-from .outside import CommandRejected
-from .outside import PollOutcome
-from .outside import PollResult
 from .pacing import observe
 from .pacing import pace_changes
 from .progress import Progress
 from .shardstate import ShardState
-from .slices import Steps
-from .slices import in_one_go
+from .slices import SlicedWork
+from .slices import run_to_completion
 from .workflows import RUNNING
 from .workflows import STARTING
 from .workflows import STATE_NAMES
@@ -97,11 +97,11 @@
 
     def listed(self, entries: t.Mapping[str, BoxEntry], now: float) -> list[Decision]:
         """Take up the newest list of boxes, as a whole."""
-        return in_one_go(self.listing(entries, now))
+        return run_to_completion(self.listing(entries, now))
 
     def listing(
         self, entries: t.Mapping[str, BoxEntry], now: float
-    ) -> Steps[list[Decision]]:
+    ) -> SlicedWork[list[Decision]]:
         """Take up the newest list of boxes, as a whole, a box at a step."""
         effects: list[Decision] = []
         by_address = {
@@ -148,7 +148,10 @@
         if entry.draining and not box.entry.draining:
             box.described(entry)
             inputs = {"leaving_in_s": entry.leaving_in_s, "tasks": len(box.tasks)}
-            return [Noted("box_draining", incarnation, inputs), *self._empty(box, now)]
+            return [
+                LogEvent("box_draining", incarnation, inputs),
+                *self._empty(box, now),
+            ]
         box.described(entry)
         return []
 
@@ -201,7 +204,7 @@
             return []
         self._state.index.removed(box)
         inputs = {"why": why, "tasks_lost": len(box.tasks)}
-        noted = Noted("box_over", incarnation, inputs)
+        noted = LogEvent("box_over", incarnation, inputs)
         return [LeaveBox(incarnation), noted, *self._runs_lost(box, now)]
 
     def _runs_lost(self, box: BoxView, now: float) -> list[Decision]:
@@ -227,7 +230,7 @@
         by_itself = self._losses.by_themselves(box.silent_since, now)
         return blame(able, lost_at, by_itself)
 
-    def leases_again(self, again: LeasesAgain) -> None:
+    def resume_leases(self, again: ResumeLeases) -> None:
         """Renew leases of a box from now on: a successor would know."""
         self._state.withdrawn_leases.given_back(again)
 
@@ -306,7 +309,7 @@
         box.silent_since = now
         self._losses.silent(now)
         inputs = {"reason": reason, "tasks": len(box.tasks)}
-        return [Noted("box_silent", box.incarnation, inputs)]
+        return [LogEvent("box_silent", box.incarnation, inputs)]
 
     def _seen(
         self, box: BoxView, poll: PollResult, sent: float, now: float
@@ -318,7 +321,7 @@
         if box.silent_since is not None:
             silent_s = round(now - box.silent_since, 2)
             effects.append(
-                Noted("box_answers", box.incarnation, {"silent_s": silent_s})
+                LogEvent("box_answers", box.incarnation, {"silent_s": silent_s})
             )
             box.silent_since = None
             box.lost_at = 0.0
@@ -330,7 +333,7 @@
         known = max((row.number for row in poll.ended), default=0)
         if known > box.known:
             box.known = known
-            effects.append(EndsKnown(box.incarnation, known))
+            effects.append(AcknowledgeEnds(box.incarnation, known))
         box.running = {row.task: row for row in poll.running}
         placed = len(box.tasks)
         effects += self._compare(box, sent, now)
@@ -350,7 +353,7 @@
                 "ended": len(poll.ended),
                 "not_there": placed - len(box.tasks),
             }
-            effects.append(Noted("box_adopted", box.incarnation, inputs))
+            effects.append(LogEvent("box_adopted", box.incarnation, inputs))
             effects += self._incarnations_before(box, now)
             if box.entry.draining:
                 # Its leaving was seen by a predecessor, which may not have moved all.
@@ -406,7 +409,7 @@
         """A run that we have not placed there: an older one, or of an ended job."""
         inputs = {"run": run}
         return [
-            Noted("unknown_run_stopped", name, inputs),
+            LogEvent("unknown_run_stopped", name, inputs),
             StopTask(box.incarnation, name, run),
         ]
 
@@ -422,7 +425,7 @@
                 "state": STATE_NAMES[task.state],
             }
             self._progress.requeue(task, now)
-            return [Noted("run_not_there", task.name, inputs)]
+            return [LogEvent("run_not_there", task.name, inputs)]
         answered = task.confirmed_at
         if not answered:
             return self._unconfirmed(task, now)
@@ -459,7 +462,7 @@
         return effects
 
     def _lapsed(self, box: BoxView, now: float) -> list[Decision]:
-        noted = Noted("leases_lapsed", box.incarnation, {"tasks": len(box.tasks)})
+        noted = LogEvent("leases_lapsed", box.incarnation, {"tasks": len(box.tasks)})
         return [noted, *self._runs_lost(box, now)]
 
     def orphaned_tasks(self, now: float) -> list[Decision]:
@@ -476,7 +479,7 @@
         tasks = self._state.inherited.pop(incarnation)
         there = [task for task in tasks if task.placed and task.box == incarnation]
         effects: list[Decision] = [
-            Noted("box_never_listed", incarnation, {"tasks_lost": len(there)})
+            LogEvent("box_never_listed", incarnation, {"tasks_lost": len(there)})
         ]
         blame(there)
         for task in there:
--- a/src/granitetrestle/jobrecords.py
+++ b/src/granitetrestle/jobrecords.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from .errors import UnreadableRecord
+from .interfaces import Record
 from .leaserights import LEASE_KEY
-from .outside import Record
-from .slices import Steps
+from .slices import SlicedWork
 from .workflows import DONE
 from .workflows import STOPPING
 from .workflows import Submission
@@ -217,7 +217,7 @@
     unreadable: list[UnreadableRecord]
 
 
-def restore_jobs(records: t.Iterable[Record], now: float) -> Steps[Restored]:
+def restore_jobs(records: t.Iterable[Record], now: float) -> SlicedWork[Restored]:
     """Return the jobs in ``records``, a few at a step. One that can't be read is named,
     and the rest goes on."""
     by_kind: dict[str, dict[str, bytes]] = collections.defaultdict(dict)
--- a/src/granitetrestle/journal.py
+++ b/src/granitetrestle/journal.py
@@ -7,13 +7,13 @@
 
 import anyio
 
-from .outside import Appended
-from .outside import Fenced
-from .outside import NumberTaken
-from .outside import Record
-from .outside import Store
-from .outside import StoreUnavailable
-from .outside import Writer
+from .interfaces import Appended
+from .interfaces import Fenced
+from .interfaces import NumberTaken
+from .interfaces import Record
+from .interfaces import Store
+from .interfaces import StoreUnavailable
+from .interfaces import Writer
 from .statemark import MARK_BYTES
 from .statemark import Marks
 
--- a/src/granitetrestle/leaserights.py
+++ b/src/granitetrestle/leaserights.py
@@ -7,8 +7,8 @@
 
 import typing as t
 
-from .decisions import LeasesAgain
-from .outside import Record
+from .decisions import ResumeLeases
+from .interfaces import Record
 
 __all__ = ["LEASE_KEY", "WithdrawnLeases"]
 
@@ -58,16 +58,16 @@
             self._returning[incarnation] = None
             self._rows[incarnation] = WITHDRAWN
 
-    def give_back(self, incarnation: str) -> list[LeasesAgain]:
+    def give_back(self, incarnation: str) -> list[ResumeLeases]:
         """Let leases be renewed there again once that is durable."""
         if self._returning.get(incarnation, 0) is not None:
             return []
         self._changes += 1
         self._returning[incarnation] = self._changes
         self._rows[incarnation] = None
-        return [LeasesAgain(incarnation, self._changes)]
+        return [ResumeLeases(incarnation, self._changes)]
 
-    def given_back(self, again: LeasesAgain) -> None:
+    def given_back(self, again: ResumeLeases) -> None:
         """Note that a change is durable."""
         if self._returning.get(again.incarnation) == again.change:
             del self._returning[again.incarnation]
--- a/src/granitetrestle/longrunningwaits.py
+++ b/src/granitetrestle/longrunningwaits.py
@@ -9,7 +9,7 @@
 
 from .boxes import BoxView
 from .boxsearch import suits
-from .decisions import Noted
+from .decisions import LogEvent
 from .headroom import Headroom
 from .shardstate import ShardState
 from .shardstate import WaitingStep
@@ -48,7 +48,7 @@
     # Boxes with room have as many tasks of its step as they may.
     PER_BOX = "per_box"
     # The only boxes with room fail what they start, or are in evacuated data halls.
-    PUT_ASIDE = "put_aside"
+    QUARANTINE = "put_aside"
     EVACUATED = "evacuated"
     # Boxes with room are kept for short work.
     KEPT = "kept"
@@ -66,7 +66,7 @@
     WaitCause.MEMORY,
     WaitCause.PER_BOX,
     WaitCause.EVACUATED,
-    WaitCause.PUT_ASIDE,
+    WaitCause.QUARANTINE,
     WaitCause.KEPT,
     WaitCause.NONE,
 )
@@ -89,7 +89,7 @@
         most_starts: int,
         inherited_ends: t.Callable[[str], float],
         now: float,
-    ) -> t.Iterator[Noted]:
+    ) -> t.Iterator[LogEvent]:
         """Note why lasting work has waited for long, every few seconds.
 
         :param most_starts: how many orders the pass may give.
@@ -111,7 +111,7 @@
             cause, inputs = self._why(entry, headroom, now)
             causes[cause] += len(entry.tasks)
             inputs["most_starts"] = most_starts
-            yield Noted("lasting_waits", _name(entry), inputs)
+            yield LogEvent("lasting_waits", _name(entry), inputs)
         lost = [*self._silent(now), *self._unlisted(inherited_ends, now)]
         causes[WaitCause.LEASE] += sum(note.inputs["tasks"] for note in lost)
         yield from lost[:TOLD_AT_MOST]
@@ -160,7 +160,7 @@
             inputs["advice_left_s"] = round(entry.advice_until - now, 2)
         return cause, inputs
 
-    def _silent(self, now: float) -> t.Iterator[Noted]:
+    def _silent(self, now: float) -> t.Iterator[LogEvent]:
         for box in self._state.boxes.values():
             since = box.silent_since
             if since is None or now - since <= TOLD_AFTER_S:
@@ -176,11 +176,11 @@
                 "listed": box.listed,
                 "adopted": box.adopted,
             }
-            yield Noted("lasting_waits", box.incarnation, inputs)
+            yield LogEvent("lasting_waits", box.incarnation, inputs)
 
     def _unlisted(
         self, inherited_ends: t.Callable[[str], float], now: float
-    ) -> t.Iterator[Noted]:
+    ) -> t.Iterator[LogEvent]:
         for incarnation, tasks in self._state.inherited.items():
             lasting = sum(
                 task.spec.long_running for task in tasks if task.box == incarnation
@@ -193,7 +193,7 @@
                 "lease_left_s": round(inherited_ends(incarnation) - now, 2),
                 "listed": False,
             }
-            yield Noted("lasting_waits", incarnation, inputs)
+            yield LogEvent("lasting_waits", incarnation, inputs)
 
 
 def _ruled_out_by(
@@ -231,7 +231,7 @@
     if box.evacuated:
         return WaitCause.EVACUATED
     if now < box.closed_until:
-        return WaitCause.PUT_ASIDE
+        return WaitCause.QUARANTINE
     return WaitCause.KEPT if headroom.keeps(box) else WaitCause.NONE
 
 
--- a/src/granitetrestle/mechanisms.py
+++ b/src/granitetrestle/mechanisms.py
@@ -32,7 +32,7 @@
     # Loads of serving tasks are followed with their trend - by level alone.
     LOAD_TREND = "load_trend"
     # Boxes that fail what they start are put aside - they stay in use.
-    PUT_ASIDE = "put_aside"
+    QUARANTINE = "put_aside"
     # The smaller jobs that fill go first, late ones last - first come, first served.
     URGENCY = "urgency"
     # Jobs that fill go by their value for the work that is left - the least left first.
--- a/src/granitetrestle/newestread.py
+++ b/src/granitetrestle/newestread.py
@@ -6,12 +6,12 @@
 
 import anyio
 
-from .outside import Newest
-from .outside import NewestPage
-from .outside import NewestUnavailable
-from .outside import Record
-from .outside import Store
-from .outside import StoreUnavailable
+from .interfaces import Newest
+from .interfaces import NewestPage
+from .interfaces import NewestUnavailable
+from .interfaces import Record
+from .interfaces import Store
+from .interfaces import StoreUnavailable
 
 __all__ = ["NewestRead", "read_newest"]
 
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -14,6 +14,7 @@
 from .forwarding import Deposed
 from .forwarding import Forwarding
 from .forwarding import Target
+from .interfaces import StoreUnavailable
 from .leadership import next_epoch
 from .messages import CallAnswered
 from .messages import CallForwarded
@@ -23,7 +24,6 @@
 from .messages import NodeStatus
 from .nodelog import NodeLog
 from .nodemetrics import NodeMetrics
-from .outside import StoreUnavailable
 from .peerlink import PeerLink
 from .registry import BeatWatch
 from .registry import Known
--- a/src/granitetrestle/platform/advice.py
+++ b/src/granitetrestle/platform/advice.py
@@ -7,9 +7,9 @@
 from ..calls import Caller
 from ..calls import CallFailure
 from ..incarnations import box_id_of
-from ..outside import Advice
-from ..outside import AdviceUnavailable
-from ..outside import Advisor
+from ..interfaces import Advice
+from ..interfaces import AdviceUnavailable
+from ..interfaces import Advisor
 
 __all__ = ["PlatformAdvisor"]
 
@@ -38,7 +38,7 @@
     async def advise(
         self, step: str, incarnations: t.Sequence[str]
     ) -> Advice | AdviceUnavailable:
-        """See :meth:`.outside.Advisor.advise`."""
+        """See :meth:`.interfaces.Advisor.advise`."""
         by_id = {box_id_of(incarnation): incarnation for incarnation in incarnations}
         body = msgspec.json.encode({"step": step, "workers": list(by_id)})
         headers = ((b"content-type", b"application/json"),)
--- a/src/granitetrestle/platform/boxes.py
+++ b/src/granitetrestle/platform/boxes.py
@@ -14,19 +14,19 @@
 from ..incarnations import box_id_of
 from ..incarnations import incarnation_name
 from ..incarnations import is_same_incarnation
-from ..outside import BoxCalls
-from ..outside import BoxEntry
-from ..outside import BoxNoAnswer
-from ..outside import BoxReplaced
-from ..outside import CommandAccepted
-from ..outside import CommandOutcome
-from ..outside import CommandRejected
-from ..outside import EndedRun
-from ..outside import PollOutcome
-from ..outside import PollResult
-from ..outside import Record
-from ..outside import RunningTask
-from ..outside import TaskCommand
+from ..interfaces import BoxCalls
+from ..interfaces import BoxEntry
+from ..interfaces import BoxNoAnswer
+from ..interfaces import BoxReplaced
+from ..interfaces import CommandAccepted
+from ..interfaces import CommandOutcome
+from ..interfaces import CommandRejected
+from ..interfaces import EndedRun
+from ..interfaces import PollOutcome
+from ..interfaces import PollResult
+from ..interfaces import Record
+from ..interfaces import RunningTask
+from ..interfaces import TaskCommand
 
 __all__ = ["PlatformBoxes", "decode_entry"]
 
@@ -188,7 +188,7 @@
         lease_ends_ms: int | None,
         wait_ms: int,
     ) -> PollOutcome:
-        """See :meth:`.outside.BoxCalls.poll`."""
+        """See :meth:`.interfaces.BoxCalls.poll`."""
         body: dict[str, t.Any] = {"fencing_token": token, "last_seen": known}
         if lease_ends_ms is not None:
             body["until_ms"] = lease_ends_ms
@@ -224,7 +224,7 @@
         checkpoint: str,
         ticket: str,
     ) -> CommandOutcome:
-        """See :meth:`.outside.BoxCalls.start`."""
+        """See :meth:`.interfaces.BoxCalls.start`."""
         body = _order(order, token)
         body["spec"] = spec
         body["until_ms"] = lease_ends_ms
@@ -235,13 +235,13 @@
         return await self._order("/api/run-start", order, token, body)
 
     async def stop(self, order: TaskCommand, token: int) -> CommandOutcome:
-        """See :meth:`.outside.BoxCalls.stop`."""
+        """See :meth:`.interfaces.BoxCalls.stop`."""
         return await self._order("/api/run-stop", order, token, _order(order, token))
 
     async def pace(
         self, order: TaskCommand, token: int, percent: int
     ) -> CommandOutcome:
-        """See :meth:`.outside.BoxCalls.pace`."""
+        """See :meth:`.interfaces.BoxCalls.pace`."""
         body = _order(order, token)
         body["percent"] = percent
         return await self._order("/api/pace", order, token, body)
--- a/src/granitetrestle/platform/front.py
+++ b/src/granitetrestle/platform/front.py
@@ -8,6 +8,10 @@
 
 from ..errors import InvalidInput
 from ..errors import MalformedDirective
+from ..interfaces import Config
+from ..interfaces import HallDirective
+from ..interfaces import Queue
+from ..interfaces import Record
 from ..jobcalls import CancelJob
 from ..jobcalls import Cancelled
 from ..jobcalls import CountWaiting
@@ -19,10 +23,6 @@
 from ..jobcalls import NoSuchJob
 from ..jobcalls import SubmitJob
 from ..jobcalls import WaitingCount
-from ..outside import Config
-from ..outside import HallDirective
-from ..outside import Queue
-from ..outside import Record
 from ..workflows import Step
 from ..workflows import Submission
 
--- a/src/granitetrestle/platform/server.py
+++ b/src/granitetrestle/platform/server.py
@@ -8,10 +8,10 @@
 from ..forwarding import ClientAnswer
 from ..forwarding import ClientCall
 from ..forwarding import Deposed
+from ..interfaces import Config
 from ..jobcalls import SubmitJob
 from ..jobrecords import submission_record
 from ..node import Node
-from ..outside import Config
 from ..session import Session
 from . import front
 from .store import LENGTH_BYTES
--- a/src/granitetrestle/platform/store.py
+++ b/src/granitetrestle/platform/store.py
@@ -11,16 +11,16 @@
 from ..calls import Caller
 from ..calls import CallFailure
 from ..calls import Reply
-from ..outside import Appended
-from ..outside import Fenced
-from ..outside import NewestPage
-from ..outside import NumberTaken
-from ..outside import Record
-from ..outside import Records
-from ..outside import RecordsGone
-from ..outside import Store
-from ..outside import StoreUnavailable
-from ..outside import Writer
+from ..interfaces import Appended
+from ..interfaces import Fenced
+from ..interfaces import NewestPage
+from ..interfaces import NumberTaken
+from ..interfaces import Record
+from ..interfaces import Records
+from ..interfaces import RecordsGone
+from ..interfaces import Store
+from ..interfaces import StoreUnavailable
+from ..interfaces import Writer
 
 __all__ = [
     "CONFIG_TOPIC",
@@ -87,7 +87,7 @@
         writer: Writer | None,
         timeout_s: float,
     ) -> Appended | Fenced | NumberTaken | StoreUnavailable:
-        """See :meth:`.outside.Store.append`."""
+        """See :meth:`.interfaces.Store.append`."""
         query = {"topic": topic, "part": "0"}
         if writer is not None:
             query["producer"] = PRODUCER
@@ -135,7 +135,7 @@
     async def newest_page(
         self, topic: str, after: str | None, timeout_s: float
     ) -> NewestPage | StoreUnavailable:
-        """See :meth:`.outside.Store.newest_page`."""
+        """See :meth:`.interfaces.Store.newest_page`."""
         query = {"topic": topic, "part": "0"}
         if after is not None:
             # The platform's name for "after this key".
@@ -155,7 +155,7 @@
     async def read(
         self, topic: str, start: int, wait_s: float
     ) -> Records | RecordsGone | StoreUnavailable:
-        """See :meth:`.outside.Store.read`."""
+        """See :meth:`.interfaces.Store.read`."""
         query = {"topic": topic, "part": "0", "from": str(start)}
         if wait_s:
             query["wait_ms"] = str(int(wait_s * 1000))
--- a/src/granitetrestle/progress.py
+++ b/src/granitetrestle/progress.py
@@ -5,11 +5,11 @@
 
 from .crashloops import forgive
 from .decisions import Decision
-from .decisions import Noted
+from .decisions import LogEvent
 from .decisions import StopTask
+from .interfaces import EndedRun
 from .jobtimes import job_times
 from .mechanisms import Mechanism
-from .outside import EndedRun
 from .shardstate import ShardState
 from .workflows import DONE
 from .workflows import PENDING
@@ -37,14 +37,14 @@
         workflow = task.workflow
         box = self._state.boxes.get(incarnation)
         effects: list[Decision] = []
-        put_aside = self._state.on(Mechanism.PUT_ASIDE)
+        put_aside = self._state.on(Mechanism.QUARANTINE)
         if put_aside and box is not None and row.how in ("done", "failed"):
             failed = row.how == "failed"
             self._state.failure_rate.saw(failed)
             in_a_row = self._state.failure_rate.in_a_row
             if box.run_ended(workflow.submission.job, failed, in_a_row, now):
                 inputs = {"closed_s": round(box.closed_until - now, 1)}
-                effects.append(Noted("box_put_aside", incarnation, inputs))
+                effects.append(LogEvent("box_put_aside", incarnation, inputs))
         self._state.changed(task)
         if row.how == "done":
             return effects + self._done(task, row, now)
@@ -142,7 +142,7 @@
         self._state.forget_waiting(workflow)
         inputs = {**inputs, **self._times(workflow, now)}
         effects: list[Decision] = [
-            Noted(f"job_{state}", workflow.submission.job, inputs)
+            LogEvent(f"job_{state}", workflow.submission.job, inputs)
         ]
         for task in workflow.tasks.values():
             if task.placed:
--- a/src/granitetrestle/registry.py
+++ b/src/granitetrestle/registry.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from .calls import is_address
+from .interfaces import Appended
+from .interfaces import NewestUnavailable
+from .interfaces import Record
+from .interfaces import Store
+from .interfaces import StoreUnavailable
 from .newestread import NewestRead
-from .outside import Appended
-from .outside import NewestUnavailable
-from .outside import Record
-from .outside import Store
-from .outside import StoreUnavailable
 
 __all__ = ["BeatWatch", "Known", "LeaderEntry", "NodeEntry", "Registry"]
 
--- a/src/granitetrestle/scheduler.py
+++ b/src/granitetrestle/scheduler.py
@@ -8,7 +8,7 @@
 from .decisions import AnswerCall
 from .decisions import AskAdvice
 from .decisions import Decision
-from .decisions import Noted
+from .decisions import LogEvent
 from .decisions import PaceTask
 from .decisions import StartTask
 from .decisions import StepDown
@@ -16,6 +16,16 @@
 from .dispatch import Dispatcher
 from .evacuation import Evacuation
 from .fleet import Fleet
+from .interfaces import Advice
+from .interfaces import AdviceUnavailable
+from .interfaces import BoxNoAnswer
+from .interfaces import BoxReplaced
+from .interfaces import CommandAccepted
+from .interfaces import CommandNotSent
+from .interfaces import CommandOutcome
+from .interfaces import CommandRejected
+from .interfaces import Config
+from .interfaces import Record
 from .jobcalls import CancelJob
 from .jobcalls import Cancelled
 from .jobcalls import CountWaiting
@@ -28,22 +38,12 @@
 from .jobcalls import SubmitJob
 from .jobcalls import WaitingCount
 from .longrunningwaits import LongRunningWaits
-from .outside import Advice
-from .outside import AdviceUnavailable
-from .outside import BoxNoAnswer
-from .outside import BoxReplaced
-from .outside import CommandAccepted
-from .outside import CommandNotSent
-from .outside import CommandOutcome
-from .outside import CommandRejected
-from .outside import Config
-from .outside import Record
 from .packing import Packer
 from .progress import Progress
 from .shardstate import SchedulerParameters
 from .shardstate import ShardState
-from .slices import Steps
-from .slices import in_one_go
+from .slices import SlicedWork
+from .slices import run_to_completion
 from .workflows import RUNNING
 from .workflows import STARTING
 from .workflows import STOPPING
@@ -116,11 +116,11 @@
 
     def restore(self, records: t.Iterable[Record], now: float) -> list[Decision]:
         """Go on from what a predecessor wrote."""
-        return in_one_go(self.restoring(records, now))
+        return run_to_completion(self.restoring(records, now))
 
     def restoring(
         self, records: t.Iterable[Record], now: float
-    ) -> Steps[list[Decision]]:
+    ) -> SlicedWork[list[Decision]]:
         """Go on from what a predecessor wrote, a little at a step."""
         restored = yield from self._state.restore(records, now)
         self._doubtful = restored.doubtful
@@ -130,7 +130,7 @@
                 self._state.enter_steps(workflow, now)
             yield
         return [
-            Noted("record_unreadable", error.key, {"error": error.message})
+            LogEvent("record_unreadable", error.key, {"error": error.message})
             for error in restored.unreadable
         ]
 
@@ -151,7 +151,7 @@
         self._state.config = config
         self._state.queues = {queue.name: queue for queue in config.queues}
         inputs = {"version": config.version, "queues": len(config.queues)}
-        return [Noted("config_in_force", "config", inputs)]
+        return [LogEvent("config_in_force", "config", inputs)]
 
     def called(self, request: str, call: JobCall, now: float) -> list[Decision]:
         """Apply what a client account asks."""
@@ -183,7 +183,7 @@
         self._state.enter_steps(workflow, now)
         tasks = sum(step.count for step in submission.steps)
         inputs = {"queue": submission.queue, "tasks": tasks}
-        return [Noted("job_taken", submission.job, inputs), answer]
+        return [LogEvent("job_taken", submission.job, inputs), answer]
 
     def _cancel(self, request: str, call: CancelJob, now: float) -> list[Decision]:
         workflow = self._state.workflows.get(call.job)
@@ -284,11 +284,11 @@
         inputs = {"run": run, "box": incarnation, "reason": outcome.reason}
         if isinstance(outcome, CommandNotSent):
             self._progress.requeue(task, now)
-            noted = Noted("start_withdrawn", name, inputs)
+            noted = LogEvent("start_withdrawn", name, inputs)
             return [noted, *self._stop_members(task, now)]
         if isinstance(outcome, BoxNoAnswer) and not outcome.sent:
             task.sent = False
-        noted = Noted("start_in_doubt", name, inputs)
+        noted = LogEvent("start_in_doubt", name, inputs)
         return [noted, *self._progress.stop(task, now)]
 
     def _stop_members(self, task: Task, now: float) -> list[Decision]:
@@ -316,7 +316,7 @@
             unwell = outcome.reason == "unhealthy"
             pause = PAUSE_UNHEALTHY_S if unwell else PAUSE_AFTER_REFUSAL_S
             box.refused(pause, now)
-        return [Noted("start_rejected", task.name, inputs)]
+        return [LogEvent("start_rejected", task.name, inputs)]
 
     def stop_answered(
         self, incarnation: str, name: str, run: int, outcome: CommandOutcome, now: float
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -17,14 +17,14 @@
 from .commandwindow import CommandWindow
 from .commandwindow import UnlimitedWindow
 from .decisions import GATED
+from .decisions import AcknowledgeEnds
 from .decisions import AnswerCall
 from .decisions import AskAdvice
 from .decisions import Decision
-from .decisions import EndsKnown
-from .decisions import LeasesAgain
 from .decisions import LeaveBox
-from .decisions import Noted
+from .decisions import LogEvent
 from .decisions import PaceTask
+from .decisions import ResumeLeases
 from .decisions import StartTask
 from .decisions import StepDown
 from .decisions import StopTask
@@ -34,6 +34,12 @@
 from .feeds import OperatorFeed
 from .feeds import Sources
 from .forwarding import Deposed
+from .interfaces import Advice
+from .interfaces import AdviceUnavailable
+from .interfaces import Config
+from .interfaces import Newest
+from .interfaces import NewestUnavailable
+from .interfaces import Record
 from .jobcalls import JobCall
 from .jobcalls import JobOutcome
 from .journal import Journal
@@ -44,12 +50,6 @@
 from .newestread import read_newest
 from .nodelog import NodeLog
 from .nodemetrics import NodeMetrics
-from .outside import Advice
-from .outside import AdviceUnavailable
-from .outside import Config
-from .outside import Newest
-from .outside import NewestUnavailable
-from .outside import Record
 from .pollbudget import PollBudget
 from .right import JournalRight
 from .scheduler import Scheduler
@@ -318,7 +318,7 @@
         for decision in decisions:
             if isinstance(decision, GATED):
                 self._journal.hold(decision)
-            elif isinstance(decision, Noted):
+            elif isinstance(decision, LogEvent):
                 self._log.event(
                     decision.event, subject=decision.subject, **decision.inputs
                 )
@@ -376,9 +376,9 @@
                 self._answer(decision)
             elif isinstance(decision, StartTask | StopTask):
                 self._order(decision)
-            elif isinstance(decision, LeasesAgain):
-                self._scheduler.fleet.leases_again(decision)
-            elif isinstance(decision, EndsKnown):
+            elif isinstance(decision, ResumeLeases):
+                self._scheduler.fleet.resume_leases(decision)
+            elif isinstance(decision, AcknowledgeEnds):
                 keeper = self._keepers.get(decision.incarnation)
                 if keeper is not None:
                     keeper.ends_durable(decision.number)
--- a/src/granitetrestle/shardstate.py
+++ b/src/granitetrestle/shardstate.py
@@ -11,6 +11,9 @@
 from .errors import UnreadableRecord
 from .failurerate import FailureRate
 from .incarnations import box_id_of
+from .interfaces import Config
+from .interfaces import Queue
+from .interfaces import Record
 from .interference import Interference
 from .jobrecords import INTERFERENCE_KEY
 from .jobrecords import JobRecords
@@ -18,11 +21,8 @@
 from .jobrecords import restore_jobs
 from .leaserights import WithdrawnLeases
 from .mechanisms import Mechanism
-from .outside import Config
-from .outside import Queue
-from .outside import Record
 from .pacing import StepLoads
-from .slices import Steps
+from .slices import SlicedWork
 from .workflows import PENDING
 from .workflows import Submission
 from .workflows import Task
@@ -210,7 +210,7 @@
         records += self.withdrawn_leases.take()
         return records
 
-    def restore(self, records: t.Iterable[Record], now: float) -> Steps[Restored]:
+    def restore(self, records: t.Iterable[Record], now: float) -> SlicedWork[Restored]:
         """Take up what a predecessor wrote, a little at a step."""
         restored = yield from restore_jobs(records, now)
         self.workflows.update(restored.workflows)
@@ -231,7 +231,7 @@
         yield from self._note_inherited()
         return restored
 
-    def _note_inherited(self) -> Steps[None]:
+    def _note_inherited(self) -> SlicedWork[None]:
         for workflow in self.workflows.values():
             for task in workflow.tasks.values():
                 if task.placed:
--- a/src/granitetrestle/slices.py
+++ b/src/granitetrestle/slices.py
@@ -6,17 +6,17 @@
 
 import anyio
 
-__all__ = ["Steps", "in_one_go", "in_slices"]
+__all__ = ["SlicedWork", "run_to_completion", "in_slices"]
 
 SLICE_S: t.Final = 0.02
 # Long enough for what came meanwhile to be taken up, in several turns.
 PAUSE_S: t.Final = 0.001
 
 T = t.TypeVar("T")
-Steps: t.TypeAlias = t.Generator[None, None, T]
+SlicedWork: t.TypeAlias = t.Generator[None, None, T]
 
 
-def in_one_go(steps: Steps[T]) -> T:
+def run_to_completion(steps: SlicedWork[T]) -> T:
     """Return the result of a computation."""
     while True:
         try:
@@ -25,7 +25,7 @@
             return t.cast(T, stop.value)
 
 
-async def in_slices(steps: Steps[T]) -> T:
+async def in_slices(steps: SlicedWork[T]) -> T:
     """Return the result of a computation; others have their turns meanwhile."""
     began = time.monotonic()
     while True:
--- a/src/granitetrestle/statemark.py
+++ b/src/granitetrestle/statemark.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from .outside import Newest
-from .outside import Record
+from .interfaces import Newest
+from .interfaces import Record
 
 __all__ = [
     "MARK_BYTES",
--- a/src/granitetrestle/succession.py
+++ b/src/granitetrestle/succession.py
@@ -8,15 +8,15 @@
 
 import anyio
 
+from .interfaces import Fenced
+from .interfaces import Newest
+from .interfaces import NewestUnavailable
+from .interfaces import NumberTaken
+from .interfaces import Store
+from .interfaces import StoreUnavailable
+from .interfaces import Writer
 from .newestread import NewestRead
 from .nodelog import NodeLog
-from .outside import Fenced
-from .outside import Newest
-from .outside import NewestUnavailable
-from .outside import NumberTaken
-from .outside import Store
-from .outside import StoreUnavailable
-from .outside import Writer
 from .statemark import NotWhole
 from .statemark import Taken
 from .statemark import Verdict
--- a/src/granitetrestle_bench/deciding.py
+++ b/src/granitetrestle_bench/deciding.py
@@ -15,20 +15,20 @@
 from absl import app
 from absl import flags
 
+from granitetrestle.decisions import AcknowledgeEnds
 from granitetrestle.decisions import Decision
-from granitetrestle.decisions import EndsKnown
 from granitetrestle.decisions import PaceTask
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StopTask
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import Config
+from granitetrestle.interfaces import EndedRun
+from granitetrestle.interfaces import PollResult
+from granitetrestle.interfaces import Queue
+from granitetrestle.interfaces import RunningTask
 from granitetrestle.jobcalls import CancelJob
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import Config
-from granitetrestle.outside import EndedRun
-from granitetrestle.outside import PollResult
-from granitetrestle.outside import Queue
-from granitetrestle.outside import RunningTask
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import Step
@@ -171,7 +171,7 @@
                 self._start(decision)
             elif isinstance(decision, StopTask):
                 self._end(decision.incarnation, decision.task, decision.run, "stopped")
-            elif isinstance(decision, EndsKnown):
+            elif isinstance(decision, AcknowledgeEnds):
                 box = self.scheduler.state.boxes[decision.incarnation]
                 box.durable_known = decision.number
                 kept = [
--- a/src/granitetrestle_bench/takeover.py
+++ b/src/granitetrestle_bench/takeover.py
@@ -19,12 +19,12 @@
 from absl import flags
 
 from granitetrestle.calls import Caller
+from granitetrestle.interfaces import NewestPage
+from granitetrestle.interfaces import Record
+from granitetrestle.interfaces import StoreUnavailable
 from granitetrestle.jobrecords import JobRecords
 from granitetrestle.nodelog import NodeLog
 from granitetrestle.nodemetrics import NodeMetrics
-from granitetrestle.outside import NewestPage
-from granitetrestle.outside import Record
-from granitetrestle.outside import StoreUnavailable
 from granitetrestle.platform.boxes import PlatformBoxes
 from granitetrestle.platform.boxes import decode_entry
 from granitetrestle.platform.front import decode_directive
@@ -220,7 +220,7 @@
     async def newest_page(
         self, topic: str, after: str | None, timeout_s: float
     ) -> NewestPage | StoreUnavailable:
-        """See :meth:`granitetrestle.outside.Store.newest_page`."""
+        """See :meth:`granitetrestle.interfaces.Store.newest_page`."""
         page = await super().newest_page(topic, after, timeout_s)
         if topic == JOBS_TOPIC and isinstance(page, NewestPage):
             self.pages += 1
--- a/src/granitetrestle_standins/boxserver.py
+++ b/src/granitetrestle_standins/boxserver.py
@@ -7,9 +7,9 @@
 import time
 import typing as t
 
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import CommandRejected
-from granitetrestle.outside import PollResult
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import CommandRejected
+from granitetrestle.interfaces import PollResult
 from granitetrestle_standins.boxprofiles import BoxProfile
 from granitetrestle_standins.boxprofiles import parse_spec
 from granitetrestle_standins.nativebox import BoxModel
--- a/src/granitetrestle_standins/modellives.py
+++ b/src/granitetrestle_standins/modellives.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from granitetrestle.incarnations import incarnation_name
-from granitetrestle.outside import BoxEntry
+from granitetrestle.interfaces import BoxEntry
 
 __all__ = ["ModelLives"]
 
--- a/src/granitetrestle_standins/nativebox.py
+++ b/src/granitetrestle_standins/nativebox.py
@@ -7,11 +7,11 @@
 import random
 import typing as t
 
-from granitetrestle.outside import CommandAccepted
-from granitetrestle.outside import CommandRejected
-from granitetrestle.outside import EndedRun
-from granitetrestle.outside import PollResult
-from granitetrestle.outside import RunningTask
+from granitetrestle.interfaces import CommandAccepted
+from granitetrestle.interfaces import CommandRejected
+from granitetrestle.interfaces import EndedRun
+from granitetrestle.interfaces import PollResult
+from granitetrestle.interfaces import RunningTask
 from granitetrestle_standins.boxprofiles import PLAIN_BOX
 from granitetrestle_standins.boxprofiles import BoxProfile
 from granitetrestle_standins.boxprofiles import EndsTold
--- a/src/granitetrestle_standins/nativeplatform.py
+++ b/src/granitetrestle_standins/nativeplatform.py
@@ -13,11 +13,11 @@
 import typing as t
 import urllib.parse
 
-from granitetrestle.outside import Appended
-from granitetrestle.outside import Fenced
-from granitetrestle.outside import Record
-from granitetrestle.outside import Records
-from granitetrestle.outside import Writer
+from granitetrestle.interfaces import Appended
+from granitetrestle.interfaces import Fenced
+from granitetrestle.interfaces import Record
+from granitetrestle.interfaces import Records
+from granitetrestle.interfaces import Writer
 from granitetrestle_standins.boxprofiles import PLAIN_BOX
 from granitetrestle_standins.boxprofiles import BoxProfile
 from granitetrestle_standins.boxprofiles import EndsTold
--- a/src/granitetrestle_standins/nativestore.py
+++ b/src/granitetrestle_standins/nativestore.py
@@ -5,17 +5,17 @@
 import random
 import typing as t
 
-from granitetrestle.outside import Appended
-from granitetrestle.outside import Fenced
-from granitetrestle.outside import Newest
-from granitetrestle.outside import NewestPage
-from granitetrestle.outside import NumberTaken
-from granitetrestle.outside import Record
-from granitetrestle.outside import Records
-from granitetrestle.outside import RecordsGone
-from granitetrestle.outside import Store
-from granitetrestle.outside import StoreUnavailable
-from granitetrestle.outside import Writer
+from granitetrestle.interfaces import Appended
+from granitetrestle.interfaces import Fenced
+from granitetrestle.interfaces import Newest
+from granitetrestle.interfaces import NewestPage
+from granitetrestle.interfaces import NumberTaken
+from granitetrestle.interfaces import Record
+from granitetrestle.interfaces import Records
+from granitetrestle.interfaces import RecordsGone
+from granitetrestle.interfaces import Store
+from granitetrestle.interfaces import StoreUnavailable
+from granitetrestle.interfaces import Writer
 from granitetrestle_standins.storereadings import PLAIN
 from granitetrestle_standins.storereadings import EmptyAppend
 from granitetrestle_standins.storereadings import Pages
@@ -196,7 +196,7 @@
         writer: Writer | None,
         timeout_s: float,
     ) -> Appended | Fenced | NumberTaken | StoreUnavailable:
-        """See :meth:`granitetrestle.outside.Store.append`."""
+        """See :meth:`granitetrestle.interfaces.Store.append`."""
         if self.down:
             return StoreUnavailable("down", undone=True)
         self.appends.append((writer, len(records)))
@@ -211,7 +211,7 @@
     async def newest_page(
         self, topic: str, after: str | None, timeout_s: float
     ) -> NewestPage | StoreUnavailable:
-        """See :meth:`granitetrestle.outside.Store.newest_page`; one page has all."""
+        """See :meth:`granitetrestle.interfaces.Store.newest_page`; one page has all."""
         if self.down:
             return StoreUnavailable("down")
         newest = self.model.newest(topic)
@@ -220,5 +220,5 @@
     async def read(
         self, topic: str, start: int, wait_s: float
     ) -> Records | RecordsGone | StoreUnavailable:
-        """See :meth:`granitetrestle.outside.Store.read`."""
+        """See :meth:`granitetrestle.interfaces.Store.read`."""
         return StoreUnavailable("down") if self.down else self.model.read(topic, start)
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -4,22 +4,22 @@
 import typing as t
 
 from granitetrestle.decisions import GATED
+from granitetrestle.decisions import AcknowledgeEnds
 from granitetrestle.decisions import AnswerCall
 from granitetrestle.decisions import Decision
-from granitetrestle.decisions import EndsKnown
-from granitetrestle.decisions import LeasesAgain
-from granitetrestle.decisions import Noted
+from granitetrestle.decisions import LogEvent
 from granitetrestle.decisions import PaceTask
+from granitetrestle.decisions import ResumeLeases
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StepDown
 from granitetrestle.decisions import StopTask
-from granitetrestle.outside import Appended
-from granitetrestle.outside import BoxEntry
-from granitetrestle.outside import Config
-from granitetrestle.outside import HallDirective
-from granitetrestle.outside import PollOutcome
-from granitetrestle.outside import Records
-from granitetrestle.outside import Writer
+from granitetrestle.interfaces import Appended
+from granitetrestle.interfaces import BoxEntry
+from granitetrestle.interfaces import Config
+from granitetrestle.interfaces import HallDirective
+from granitetrestle.interfaces import PollOutcome
+from granitetrestle.interfaces import Records
+from granitetrestle.interfaces import Writer
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.statemark import Marks
@@ -84,7 +84,7 @@
         self.sequence = 1
         self.scheduler = Scheduler(world.parameters, world.now)
         self.held: list[Decision] = []
-        self.notes: list[Noted] = []
+        self.notes: list[LogEvent] = []
         self.looked_at: dict[str, float] = {}
         self.apply(self.scheduler.configured(world.config))
         taken = Taken.record(epoch, f"life-{epoch}")
@@ -144,7 +144,7 @@
                 self.over = True
             elif isinstance(decision, PaceTask):
                 self.world.send(self, decision)
-            elif isinstance(decision, Noted):
+            elif isinstance(decision, LogEvent):
                 self.notes.append(decision)
 
     def tick(self) -> None:
@@ -178,9 +178,9 @@
             self.world.send(self, decision)
         elif isinstance(decision, AnswerCall):
             self.world.answered(decision)
-        elif isinstance(decision, LeasesAgain):
-            self.scheduler.fleet.leases_again(decision)
-        elif isinstance(decision, EndsKnown):
+        elif isinstance(decision, ResumeLeases):
+            self.scheduler.fleet.resume_leases(decision)
+        elif isinstance(decision, AcknowledgeEnds):
             box = self.scheduler.state.boxes.get(decision.incarnation)
             if box is not None:
                 box.durable_known = max(box.durable_known, decision.number)
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -88,7 +88,13 @@
     ),
     Mutant(
         "native: failures together double the pause of a box",
-        (("boxes.py", "        if now < self.aside_until:\n", "        if False:\n"),),
+        (
+            (
+                "boxes.py",
+                "        if now < self.quarantined_until:\n",
+                "        if False:\n",
+            ),
+        ),
         "native_policy",
     ),
     Mutant(
@@ -96,7 +102,7 @@
         (
             (
                 "dispatch.py",
-                "if box is None and step.long_running and pool.aside",
+                "if box is None and step.long_running and pool.quarantined",
                 "if False",
             ),
         ),
