--- a/features/rights.py
+++ b/features/rights.py
@@ -1,9 +1,9 @@
 """A right to decide that the test sets."""
 
-from granitetrestle.right import Right
+from granitetrestle.leaderlease import LeaderLease
 
 
-class GivenRight(Right):
+class GivenRight(LeaderLease):
     """A right of a given age."""
 
     def __init__(self, age_s=0.0):
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -10,7 +10,7 @@
 from granitetrestle.interfaces import Appended
 from granitetrestle.interfaces import Writer
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.statemark import Taken
+from granitetrestle.statedigest import EpochClaim
 from granitetrestle.succession import JOBS_TOPIC
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -45,7 +45,7 @@
 
 def successor(context):
     """Let another process raise the epoch; it has not reached the box yet."""
-    record = Taken.record(2, "another")
+    record = EpochClaim.record(2, "another")
     context.world.store.model.append(JOBS_TOPIC, [record], Writer(2, 1))
 
 
@@ -142,14 +142,14 @@
     async def script():
         async with context.world.session(1) as session:
             context.waits = []
-            confirmed = session._right.confirmed
+            confirmed = session._leader_lease.confirmed
 
             async def measured():
                 began = time.perf_counter()
                 await confirmed()
                 context.waits.append(time.perf_counter() - began)
 
-            session._right.confirmed = measured
+            session._leader_lease.confirmed = measured
             for number in range(tasks // 8):
                 submission = job(8, f"{number + 1}")
                 await session.call(f"r{number}", SubmitJob(submission))
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -30,7 +30,7 @@
 from granitetrestle.platform.boxes import PlatformBoxes
 from granitetrestle.platform.server import FrontResponder
 from granitetrestle.scheduler import Scheduler
-from granitetrestle.statemark import MARK_KEY
+from granitetrestle.statedigest import DIGEST_KEY
 from granitetrestle.succession import JOBS_TOPIC
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -90,7 +90,7 @@
 
 
 def without_marks(store):
-    return [r for r in store.model.topics["t"] if r.key != MARK_KEY]
+    return [r for r in store.model.topics["t"] if r.key != DIGEST_KEY]
 
 
 @when("{count:d} records of {size:d} bytes are written at once")
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -28,8 +28,8 @@
 from granitetrestle.session import Session
 from granitetrestle.session import Sources
 from granitetrestle.shardstate import SchedulerParameters
-from granitetrestle.statemark import Marks
-from granitetrestle.statemark import Taken
+from granitetrestle.statedigest import DigestTracker
+from granitetrestle.statedigest import EpochClaim
 from granitetrestle.succession import JOBS_TOPIC
 from granitetrestle.succession import take_over
 from granitetrestle.workflows import RUNNING
@@ -61,7 +61,10 @@
         self.change = {}
         self.asked = collections.Counter()
         ended = [ended_record(n) for n in range(count)]
-        written = [*Marks().marked(ended), Taken.record(0, "a predecessor")]
+        written = [
+            *DigestTracker().marked(ended),
+            EpochClaim.record(0, "a predecessor"),
+        ]
         self.model.append(JOBS_TOPIC, written, None)
         keys = sorted(record.key for record in written)
         self.last_keys = [
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -37,7 +37,7 @@
 from granitetrestle.platform.settings import load_boot_file
 from granitetrestle.platform.store import decode_records
 from granitetrestle.platform.store import encode_record
-from granitetrestle.statemark import MARK_KEY
+from granitetrestle.statedigest import DIGEST_KEY
 from granitetrestle_standins.nativestore import MemoryStore
 from granitetrestle_standins.nativestore import StoreModel
 
@@ -164,7 +164,7 @@
 @then("the store holds it once, and its effect was let go once")
 def held_once(context):
     written = context.run.store.model.topics["t"]
-    assert [record for record in written if record.key != MARK_KEY] == [RECORD]
+    assert [record for record in written if record.key != DIGEST_KEY] == [RECORD]
     assert context.run.released == ["effect"], context.run.released
 
 
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -23,8 +23,8 @@
 from granitetrestle.nodemetrics import NodeMetrics
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.session import Session
-from granitetrestle.statemark import MARK_KEY
-from granitetrestle.statemark import Taken
+from granitetrestle.statedigest import DIGEST_KEY
+from granitetrestle.statedigest import EpochClaim
 from granitetrestle.succession import JOBS_TOPIC
 from granitetrestle.succession import StateRead
 from granitetrestle.succession import take_over
@@ -54,7 +54,7 @@
 
 def no_mark(whole, log):
     """Leave out the mark as well."""
-    records = tuple(r for r in no_tasks(whole, log).records if r.key != MARK_KEY)
+    records = tuple(r for r in no_tasks(whole, log).records if r.key != DIGEST_KEY)
     return whole._replace(records=records)
 
 
@@ -372,7 +372,7 @@
             # Until the first starts are answered, and the others have their turn.
             await anyio.sleep(0.5)
         elif context.since is None:
-            record = Taken.record(2, "another")
+            record = EpochClaim.record(2, "another")
             store.model.append(JOBS_TOPIC, [record], Writer(2, 1))
             time.sleep(seconds)
             context.since = time.monotonic()
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -23,6 +23,7 @@
 from granitetrestle.interfaces import Queue
 from granitetrestle.interfaces import Record
 from granitetrestle.journal import Journal
+from granitetrestle.leaderlease import JournalLeaderLease
 from granitetrestle.leadership import Leadership
 from granitetrestle.looplag import LoopLag
 from granitetrestle.messages import LeaderResigned
@@ -30,7 +31,6 @@
 from granitetrestle.peerlink import PeerLink
 from granitetrestle.platform.server import FrontResponder
 from granitetrestle.platform.store import PlatformStore
-from granitetrestle.right import JournalRight
 from granitetrestle.session import Session
 from granitetrestle.shardstate import SchedulerParameters
 
@@ -242,7 +242,9 @@
             self._over = False
             self._operators = self
             self._journal = self
-            self._right = JournalRight(self, SchedulerParameters().orphan_s, LoopLag())
+            self._leader_lease = JournalLeaderLease(
+                self, SchedulerParameters().orphan_s, LoopLag()
+            )
             self._come_back = SteadyReturns()
 
         config = CONFIG
@@ -439,7 +441,9 @@
             self._over = False
             self._journal = self
             self._parameters = SchedulerParameters()
-            self._right = JournalRight(self, self._parameters.orphan_s, LoopLag())
+            self._leader_lease = JournalLeaderLease(
+                self, self._parameters.orphan_s, LoopLag()
+            )
             self.nudged = 0
 
         class status:
@@ -467,11 +471,11 @@
 @then("it renews no lease, and asks the store before it answers")
 def asks_before(context):
     session = context.session
-    assert session._right.may_renew()
+    assert session._leader_lease.may_renew()
     assert anyio.run(session.confirm) and not session.nudged
     with unittest.mock.patch.object(
         steadyclock, "now", lambda: time.monotonic() + context.slept
     ):
-        assert not session._right.may_renew()
+        assert not session._leader_lease.may_renew()
         assert anyio.run(session.confirm)
     assert session.nudged, "an answer would rest on what was confirmed before"
--- a/features/steps/store_reading_steps.py
+++ b/features/steps/store_reading_steps.py
@@ -13,7 +13,7 @@
 from granitetrestle.interfaces import Record
 from granitetrestle.interfaces import Writer
 from granitetrestle.journal import Journal
-from granitetrestle.statemark import MARK_KEY
+from granitetrestle.statedigest import DIGEST_KEY
 from granitetrestle.workflows import Step
 from granitetrestle_standins.nativestore import MemoryStore
 from granitetrestle_standins.nativestore import OutOfSequence
@@ -167,7 +167,7 @@
 @then("the store holds the decision that was let go")
 def decision_held(context):
     assert context.released == ["effect"], context.released
-    held = [r for r in context.model.topics[TOPIC] if r.key != MARK_KEY]
+    held = [r for r in context.model.topics[TOPIC] if r.key != DIGEST_KEY]
     assert held == [RECORD], f"let go, and the store holds {held}"
 
 
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -9,9 +9,9 @@
 
 from granitetrestle.interfaces import NumberTaken
 from granitetrestle.nodelog import NodeLog
-from granitetrestle.statemark import Taken
-from granitetrestle.succession import NotRead
+from granitetrestle.statedigest import EpochClaim
 from granitetrestle.succession import StateRead
+from granitetrestle.succession import StateUnavailable
 from granitetrestle.succession import take_over
 from granitetrestle_standins.nativestore import StoreModel
 from session_world import CountingModel
@@ -93,7 +93,7 @@
             for _ in range(jobs):
                 await world.do_job(session, tasks)
         context.taken = await take_over(world.store, 1, "second life")
-        if isinstance(context.taken, Taken):
+        if isinstance(context.taken, EpochClaim):
             log = NodeLog(descriptor=2)
             context.read = await StateRead(world.store, context.taken, log).run()
 
@@ -102,8 +102,8 @@
 
 @then("the new life sees that the epoch is used, and decides nothing in it")
 def sees_used(context):
-    if isinstance(context.taken, Taken):
-        assert isinstance(context.read, NotRead), context.read
+    if isinstance(context.taken, EpochClaim):
+        assert isinstance(context.read, StateUnavailable), context.read
         assert "first life" in context.read.reason
     else:
         assert isinstance(context.taken, NumberTaken), context.taken
--- a/src/granitetrestle/boxlife.py
+++ b/src/granitetrestle/boxlife.py
@@ -22,11 +22,11 @@
 from .interfaces import CommandRejected
 from .interfaces import PollResult
 from .interfaces import TaskCommand
+from .leaderlease import LeaderLease
 from .looplag import LoopLag
 from .nodemetrics import NodeMetrics
 from .pollbudget import PollBudget
 from .pollbudget import PollParameters
-from .right import Right
 from .scheduler import Scheduler
 
 __all__ = ["BoxKeeper"]
@@ -63,7 +63,7 @@
         boxes: BoxCalls,
         scheduler: Scheduler,
         apply: t.Callable[[list[Decision]], None],
-        right: Right,
+        leader_lease: LeaderLease,
         metrics: NodeMetrics,
         window: CommandWindow,
         lag: LoopLag,
@@ -78,7 +78,7 @@
         self._boxes = boxes
         self._scheduler = scheduler
         self._apply = apply
-        self._right = right
+        self._leader_lease = leader_lease
         self._metrics = metrics
         self._durable = anyio.Event()
         self._work_came = anyio.Event()
@@ -162,7 +162,7 @@
     async def _poll_once(self, waits: bool) -> bool:
         sent = time.monotonic()
         plan = self._scheduler.fleet.plan_poll(
-            self._incarnation, sent, self._right.may_renew()
+            self._incarnation, sent, self._leader_lease.may_renew()
         )
         if plan is None:
             return False
@@ -211,7 +211,7 @@
                 until = self._scheduler.fleet.lease_until(box, time.monotonic())
             if until is None:
                 return CommandNotSent("no lease can be given")
-            self._metrics.observe("start_right_age", self._right.age_s())
+            self._metrics.observe("start_right_age", self._leader_lease.age_s())
             return await self._boxes.start(
                 self._order(order),
                 self._epoch,
@@ -278,9 +278,9 @@
         rests_on_right = kind != FIRST
         while True:
             if rests_on_right:
-                await self._right.confirmed()
+                await self._leader_lease.confirmed()
             async with self._window.turn(kind, self._incarnation) as turn:
-                if rests_on_right and not self._right.holds():
+                if rests_on_right and not self._leader_lease.holds():
                     # Others have their turn meanwhile: without this a pace waited too.
                     continue
                 outcome = await send()
--- a/src/granitetrestle/jobrecords.py
+++ b/src/granitetrestle/jobrecords.py
@@ -10,8 +10,8 @@
 
 from .errors import UnreadableRecord
 from .interfaces import Record
-from .leaserights import LEASE_KEY
 from .slices import SlicedWork
+from .withdrawnleases import LEASE_KEY
 from .workflows import DONE
 from .workflows import STOPPING
 from .workflows import Submission
--- a/src/granitetrestle/journal.py
+++ b/src/granitetrestle/journal.py
@@ -14,8 +14,8 @@
 from .interfaces import Store
 from .interfaces import StoreUnavailable
 from .interfaces import Writer
-from .statemark import MARK_BYTES
-from .statemark import Marks
+from .statedigest import DIGEST_BYTES
+from .statedigest import DigestTracker
 
 __all__ = ["Journal", "JournalStatus", "NotKept"]
 
@@ -102,8 +102,8 @@
         self._not_kept = not_kept
         # Where the topic ends by the newest answer; it has one writer.
         self._end = end
-        self._marks = Marks()
-        self._batch_bytes = min(RECORDS_BYTES, call_bytes) - MARK_BYTES
+        self._marks = DigestTracker()
+        self._batch_bytes = min(RECORDS_BYTES, call_bytes) - DIGEST_BYTES
         self._held: list[t.Any] = []
         # Whether somebody waits for the next append, and what tells that one succeeded.
         self._asked = False
@@ -137,7 +137,7 @@
 
     def goes_on_from(self, records: t.Iterable[Record]) -> None:
         """Learn what the topic holds before the first append."""
-        self._marks = Marks(records)
+        self._marks = DigestTracker(records)
 
     def hold(self, effect: t.Any) -> None:
         """Keep an effect until all that was decided so far is durable."""
--- a/src/granitetrestle/right.py
+++ b/src/granitetrestle/leaderlease.py
@@ -8,7 +8,7 @@
 from .journal import Journal
 from .looplag import LoopLag
 
-__all__ = ["JournalRight", "Right"]
+__all__ = ["JournalLeaderLease", "LeaderLease"]
 
 # A right is fresh for so long; nobody takes over sooner after a decider's last sign of
 # life. After a longer stand-still all starts in hand left at once, up to three times the
@@ -16,7 +16,7 @@
 FRESH_S: t.Final = 0.8
 
 
-class Right(abc.ABC):
+class LeaderLease(abc.ABC):
     """How sure a process is that its epoch is the newest."""
 
     @abc.abstractmethod
@@ -38,7 +38,7 @@
         anew. Does not return if another process decides."""
 
 
-class JournalRight(Right):
+class JournalLeaderLease(LeaderLease):
     """What the journal's appends prove.
 
     :param orphan_s: how long leases are renewed without a new proof.
@@ -62,15 +62,15 @@
         return confirmed_at >= self._doubted_at and self.age_s() < within_s
 
     def age_s(self) -> float:
-        """See :meth:`Right.age_s`."""
+        """See :meth:`LeaderLease.age_s`."""
         return self._journal.confirmed_age_s
 
     def may_renew(self) -> bool:
-        """See :meth:`Right.may_renew`."""
+        """See :meth:`LeaderLease.may_renew`."""
         return self.age_s() < self._orphan_s
 
     def holds(self) -> bool:
-        """See :meth:`Right.holds`. Proved by an append that was sent after this
+        """See :meth:`LeaderLease.holds`. Proved by an append that was sent after this
         process last stood still, and answered a moment ago: a store that takes longer
         for an append than a right is fresh would hold back every start."""
         status = self._journal.status
@@ -79,6 +79,6 @@
         return status.confirmed_at >= since and answered_s_ago < FRESH_S
 
     async def confirmed(self) -> None:
-        """See :meth:`Right.confirmed`."""
+        """See :meth:`LeaderLease.confirmed`."""
         while not self.holds():
             await self._journal.confirm()
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -35,7 +35,7 @@
 from .session import Session
 from .session import Sources
 from .shardstate import SchedulerParameters
-from .statemark import Taken
+from .statedigest import EpochClaim
 from .succession import take_over
 
 __all__ = ["Node", "NodeParameters", "Responder"]
@@ -432,14 +432,14 @@
             if isinstance(outcome, StoreUnavailable):
                 self._log.event("take_over_failed", reason=outcome.reason)
                 return
-            if isinstance(outcome, Taken):
+            if isinstance(outcome, EpochClaim):
                 self._leadership.took_over(epoch, time.monotonic())
                 tasks.start_soon(self._lead, outcome)
                 return
             previous = self._refused_epoch = epoch
         self._log.event("take_over_failed", reason="fenced", epoch=previous)
 
-    async def _lead(self, taken: Taken) -> None:
+    async def _lead(self, taken: EpochClaim) -> None:
         session = Session(
             self._sources, taken, self._parameters.scheduler, self._log, self._metrics
         )
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -44,6 +44,7 @@
 from .jobcalls import JobOutcome
 from .journal import Journal
 from .journal import NotKept
+from .leaderlease import JournalLeaderLease
 from .longrunningwaits import WaitCause
 from .looplag import LoopLag
 from .mechanisms import Mechanism
@@ -51,14 +52,13 @@
 from .nodelog import NodeLog
 from .nodemetrics import NodeMetrics
 from .pollbudget import PollBudget
-from .right import JournalRight
 from .scheduler import Scheduler
 from .shardstate import SchedulerParameters
 from .slices import in_slices
-from .statemark import Taken
+from .statedigest import EpochClaim
 from .succession import JOBS_TOPIC
-from .succession import NotRead
 from .succession import StateRead
+from .succession import StateUnavailable
 from .waitingorder import waiting_tasks
 
 __all__ = ["Session", "Sources"]
@@ -81,7 +81,7 @@
     def __init__(
         self,
         sources: Sources,
-        taken: Taken,
+        taken: EpochClaim,
         parameters: SchedulerParameters,
         log: NodeLog,
         metrics: NodeMetrics,
@@ -108,7 +108,9 @@
             parameters.call_bytes,
         )
         self._lag = LoopLag(steadyclock.now)
-        self._right = JournalRight(self._journal, parameters.orphan_s, self._lag)
+        self._leader_lease = JournalLeaderLease(
+            self._journal, parameters.orphan_s, self._lag
+        )
         parts = (sources, self._scheduler, self._apply, log)
         self._operators = OperatorFeed(*parts)
         self._listed = BoxFeed(*parts)
@@ -150,7 +152,7 @@
             "halls_evacuated": float(len(self._scheduler.state.evacuated_halls)),
             "orders_unreadable": float(self._operators.unreadable),
             "log_end": float(self._journal.end or 0),
-            "right_age_s": round(self._right.age_s(), 3),
+            "right_age_s": round(self._leader_lease.age_s(), 3),
         }
 
     @property
@@ -244,7 +246,7 @@
         state = StateRead(store, self._taken, self._log)
 
         async def fetch(topic: str) -> None:
-            outcome: Newest | NewestUnavailable | NotRead
+            outcome: Newest | NewestUnavailable | StateUnavailable
             if topic == JOBS_TOPIC:
                 outcome = await state.run()
             else:
@@ -347,7 +349,7 @@
             self._sources.boxes,
             self._scheduler,
             self._apply,
-            self._right,
+            self._leader_lease,
             self._metrics,
             self._window,
             self._lag,
@@ -419,7 +421,7 @@
         if epoch > self._epoch_heard:
             self._epoch_heard = epoch
             self._log.event("newer_epoch_heard", epoch=self._epoch, heard=epoch)
-            self._right.doubt()
+            self._leader_lease.doubt()
 
     async def confirm(self) -> bool:
         """Return once this process is proved to decide still, or false as soon as the
@@ -427,7 +429,7 @@
 
         :raises Deposed: if it does not decide any more.
         """
-        if self._right.fresh(CONFIRMED_S):
+        if self._leader_lease.fresh(CONFIRMED_S):
             return True
         asked = steadyclock.now()
         while self._journal.status.confirmed_at < asked:
--- a/src/granitetrestle/shardstate.py
+++ b/src/granitetrestle/shardstate.py
@@ -19,10 +19,10 @@
 from .jobrecords import JobRecords
 from .jobrecords import Restored
 from .jobrecords import restore_jobs
-from .leaserights import WithdrawnLeases
 from .mechanisms import Mechanism
 from .pacing import StepLoads
 from .slices import SlicedWork
+from .withdrawnleases import WithdrawnLeases
 from .workflows import PENDING
 from .workflows import Submission
 from .workflows import Task
--- a/src/granitetrestle/statemark.py
+++ b/src/granitetrestle/statedigest.py
@@ -15,28 +15,28 @@
 from .interfaces import Record
 
 __all__ = [
-    "MARK_BYTES",
-    "MARK_KEY",
-    "TAKEN_KEY",
-    "Marks",
-    "NotWhole",
-    "Taken",
+    "DIGEST_BYTES",
+    "DIGEST_KEY",
+    "EPOCH_CLAIM_KEY",
+    "DigestTracker",
+    "IncompleteRead",
+    "EpochClaim",
     "Verdict",
     "judge",
 ]
 
 # Keys of no job: a reader of jobs passes over them.
-MARK_KEY: t.Final = "m/state"
-TAKEN_KEY: t.Final = "m/taken"
-_OWN_KEYS: t.Final = frozenset({MARK_KEY, TAKEN_KEY})
+DIGEST_KEY: t.Final = "m/state"
+EPOCH_CLAIM_KEY: t.Final = "m/taken"
+_OWN_KEYS: t.Final = frozenset({DIGEST_KEY, EPOCH_CLAIM_KEY})
 # The most that a mark adds to an append, with the lengths before it.
-MARK_BYTES: t.Final = 64
+DIGEST_BYTES: t.Final = 64
 # A topic that has seen no more records than this may hold nothing but those with which
 # epochs were raised: all processes try at the first start, some of them several times.
 ONLY_RAISED: t.Final = 64
 
 
-class StateMark(msgspec.Struct, frozen=True, array_like=True):
+class StateDigest(msgspec.Struct, frozen=True, array_like=True):
     """What a topic holds, records of this module left out.
 
     :param total: exclusive or of the check sums of each key with its value.
@@ -46,14 +46,14 @@
     total: int
 
 
-class _TakenBy(msgspec.Struct, frozen=True, array_like=True):
+class _EpochClaimant(msgspec.Struct, frozen=True, array_like=True):
     """Which life of a process raised an epoch."""
 
     epoch: int
     by: str
 
 
-class Taken(t.NamedTuple):
+class EpochClaim(t.NamedTuple):
     """An epoch that was raised.
 
     :param by: the life of the process that raised it.
@@ -67,15 +67,15 @@
     @staticmethod
     def record(epoch: int, by: str) -> Record:
         """Return the record with which a process raises an epoch."""
-        return Record(TAKEN_KEY, _encode(_TakenBy(epoch, by)))
+        return Record(EPOCH_CLAIM_KEY, _encode(_EpochClaimant(epoch, by)))
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_marks = msgspec.msgpack.Decoder(StateMark)
-_taken = msgspec.msgpack.Decoder(_TakenBy)
+_marks = msgspec.msgpack.Decoder(StateDigest)
+_taken = msgspec.msgpack.Decoder(_EpochClaimant)
 
 
-class Marks:
+class DigestTracker:
     """Follows what a topic holds.
 
     :param records: what it holds now.
@@ -98,15 +98,15 @@
             self._total ^= total
 
     @property
-    def mark(self) -> StateMark:
+    def mark(self) -> StateDigest:
         """What the topic holds now."""
-        return StateMark(len(self._sums), self._total)
+        return StateDigest(len(self._sums), self._total)
 
     def marked(self, records: t.Sequence[Record]) -> list[Record]:
         """Return the records of an append with their mark."""
         for record in records:
             self._take(record)
-        return [*records, Record(MARK_KEY, _encode(self.mark))]
+        return [*records, Record(DIGEST_KEY, _encode(self.mark))]
 
 
 class Verdict(enum.Enum):
@@ -124,47 +124,47 @@
     UNMARKED = "unmarked"
 
 
-class NotWhole(t.NamedTuple):
+class IncompleteRead(t.NamedTuple):
     """Why a reading is not proved to be the whole of what was kept."""
 
     verdict: Verdict
     reason: str
 
 
-def judge(read: Newest, taken: Taken) -> NotWhole | None:
+def judge(read: Newest, taken: EpochClaim) -> IncompleteRead | None:
     """Return why a reading is not proved to be whole, or ``None`` if it is.
 
     :param taken: the epoch, as it was raised before the reading.
     """
     values = {record.key: record.value for record in read.records}
-    shown = _shown(values.get(TAKEN_KEY))
-    if shown != _TakenBy(taken.epoch, taken.by):
+    shown = _shown(values.get(EPOCH_CLAIM_KEY))
+    if shown != _EpochClaimant(taken.epoch, taken.by):
         return _not_ours(shown, taken)
-    found = Marks(read.records).mark
-    if MARK_KEY not in values:
+    found = DigestTracker(read.records).mark
+    if DIGEST_KEY not in values:
         if not found.keys and taken.end <= ONLY_RAISED:
             return None
-        return NotWhole(Verdict.UNMARKED, f"no mark beside {found.keys} keys")
+        return IncompleteRead(Verdict.UNMARKED, f"no mark beside {found.keys} keys")
     try:
-        expected = _marks.decode(values[MARK_KEY] or b"")
+        expected = _marks.decode(values[DIGEST_KEY] or b"")
     except msgspec.DecodeError as error:
-        return NotWhole(Verdict.UNMARKED, f"the mark can't be read: {error}")
+        return IncompleteRead(Verdict.UNMARKED, f"the mark can't be read: {error}")
     if found == expected:
         return None
-    return NotWhole(Verdict.DIFFERS, f"{found}, not {expected}")
+    return IncompleteRead(Verdict.DIFFERS, f"{found}, not {expected}")
 
 
-def _shown(value: bytes | None) -> _TakenBy | None:
+def _shown(value: bytes | None) -> _EpochClaimant | None:
     try:
         return _taken.decode(value) if value else None
     except msgspec.DecodeError:
         return None
 
 
-def _not_ours(shown: _TakenBy | None, taken: Taken) -> NotWhole:
+def _not_ours(shown: _EpochClaimant | None, taken: EpochClaim) -> IncompleteRead:
     reason = f"the epoch's first record is not there, but {shown}"
     if shown is None or shown.epoch < taken.epoch:
-        return NotWhole(Verdict.OLD, reason)
+        return IncompleteRead(Verdict.OLD, reason)
     if shown.epoch > taken.epoch:
-        return NotWhole(Verdict.OVER, reason)
-    return NotWhole(Verdict.USED, reason)
+        return IncompleteRead(Verdict.OVER, reason)
+    return IncompleteRead(Verdict.USED, reason)
--- a/src/granitetrestle/succession.py
+++ b/src/granitetrestle/succession.py
@@ -17,12 +17,12 @@
 from .interfaces import Writer
 from .newestread import NewestRead
 from .nodelog import NodeLog
-from .statemark import NotWhole
-from .statemark import Taken
-from .statemark import Verdict
-from .statemark import judge
+from .statedigest import EpochClaim
+from .statedigest import IncompleteRead
+from .statedigest import Verdict
+from .statedigest import judge
 
-__all__ = ["JOBS_TOPIC", "NotRead", "StateRead", "take_over"]
+__all__ = ["JOBS_TOPIC", "StateUnavailable", "StateRead", "take_over"]
 
 JOBS_TOPIC: t.Final = "keyed.jobs"
 TAKE_OVER_TIMEOUT_S: t.Final = 1.0
@@ -42,22 +42,22 @@
 
 async def take_over(
     store: Store, epoch: int, by: str
-) -> Taken | Fenced | NumberTaken | StoreUnavailable:
+) -> EpochClaim | Fenced | NumberTaken | StoreUnavailable:
     """Raise the epoch at the store.
 
     :param by: the life of this process.
-    :returns: ``Taken`` if this process decides now; ``NumberTaken`` if an earlier life
+    :returns: ``EpochClaim`` if this process decides now; ``NumberTaken`` if an earlier life
         of it has decided in this epoch.
     """
-    records = (Taken.record(epoch, by),)
+    records = (EpochClaim.record(epoch, by),)
     writer = Writer(epoch, 1)
     outcome = await store.append(JOBS_TOPIC, records, writer, TAKE_OVER_TIMEOUT_S)
     if isinstance(outcome, Fenced | NumberTaken | StoreUnavailable):
         return outcome
-    return Taken(epoch, by, outcome.end)
+    return EpochClaim(epoch, by, outcome.end)
 
 
-class NotRead(t.NamedTuple):
+class StateUnavailable(t.NamedTuple):
     """This process can't go on from what its predecessor left."""
 
     reason: str
@@ -68,19 +68,19 @@
 class StateRead:
     """Reads what a predecessor left; no other can write meanwhile."""
 
-    def __init__(self, store: Store, taken: Taken, log: NodeLog) -> None:
+    def __init__(self, store: Store, taken: EpochClaim, log: NodeLog) -> None:
         self._store = store
         self._taken = taken
         self._log = log
         # Since when readings have had the same fault, and which.
-        self._fault: NotWhole | None = None
+        self._fault: IncompleteRead | None = None
         self._fault_since = 0.0
 
-    async def run(self) -> Newest | NotRead:
+    async def run(self) -> Newest | StateUnavailable:
         """Return the records once they are proved to be whole, or are lost."""
         while True:
             read = await self._read()
-            if isinstance(read, NotRead):
+            if isinstance(read, StateUnavailable):
                 return read
             wrong = judge(read, self._taken)
             if wrong is None:
@@ -88,13 +88,13 @@
             inputs = {"verdict": wrong.verdict.value, "why": wrong.reason}
             self._log.event("reading_not_whole", epoch=self._taken.epoch, **inputs)
             if wrong.verdict in (Verdict.OVER, Verdict.USED):
-                return NotRead(wrong.reason)
+                return StateUnavailable(wrong.reason)
             if self._is_lost(wrong, time.monotonic()):
                 self._log.event("records_lost", epoch=self._taken.epoch, **inputs)
                 return read
             await anyio.sleep(READ_AGAIN_S)
 
-    def _is_lost(self, wrong: NotWhole, now: float) -> bool:
+    def _is_lost(self, wrong: IncompleteRead, now: float) -> bool:
         """Say whether what a reading lacks has been missing for too long."""
         if wrong != self._fault:
             self._fault, self._fault_since = wrong, now
@@ -103,7 +103,7 @@
             return for_s > UNMARKED_FOR_S
         return wrong.verdict is Verdict.DIFFERS and for_s > DIFFERS_FOR_S
 
-    async def _read(self) -> Newest | NotRead:
+    async def _read(self) -> Newest | StateUnavailable:
         """Read all pages, those again that fail."""
         reading = NewestRead(self._store, JOBS_TOPIC, self._taken.end)
         pages, tries, since = 0, 0, time.monotonic()
@@ -116,5 +116,5 @@
                 pages, tries, since = outcome.pages, 0, now
             tries += 1
             if tries >= PAGE_TRIES or now - since > SILENT_S:
-                return NotRead(*outcome)
+                return StateUnavailable(*outcome)
             await anyio.sleep(READ_AGAIN_S)
--- a/src/granitetrestle_bench/takeover.py
+++ b/src/granitetrestle_bench/takeover.py
@@ -34,8 +34,8 @@
 from granitetrestle.session import Session
 from granitetrestle.session import Sources
 from granitetrestle.shardstate import SchedulerParameters
-from granitetrestle.statemark import Marks
-from granitetrestle.statemark import Taken
+from granitetrestle.statedigest import DigestTracker
+from granitetrestle.statedigest import EpochClaim
 from granitetrestle.succession import JOBS_TOPIC
 from granitetrestle.succession import take_over
 from granitetrestle.workflows import DONE
@@ -121,7 +121,7 @@
             workflow.retire()
             self._records.retired(workflow)
         records = [r for r in self._records.take() if r.value is not None]
-        self._model.append(JOBS_TOPIC, Marks().marked(records), None)
+        self._model.append(JOBS_TOPIC, DigestTracker().marked(records), None)
         self._model.append(LIFE_TOPIC, list(map(self._box, range(self.boxes))), None)
 
     def _fill_running(self, kind: Kind, tasks: int) -> None:
@@ -284,7 +284,7 @@
         store, boxes, CONFIG_TOPIC, LIFE_TOPIC, decode_directive, decode_entry
     )
     taken = await take_over(store, 1, "measured")
-    assert isinstance(taken, Taken), taken
+    assert isinstance(taken, EpochClaim), taken
     session = Session(sources, taken, SchedulerParameters(), NodeLog(2), NodeMetrics())
     gc.collect()
     before_mb = _status_mb("VmRSS")
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -22,8 +22,8 @@
 from granitetrestle.interfaces import Writer
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
-from granitetrestle.statemark import Marks
-from granitetrestle.statemark import Taken
+from granitetrestle.statedigest import DigestTracker
+from granitetrestle.statedigest import EpochClaim
 from granitetrestle_standins.nativestore import StoreModel
 
 __all__ = ["HALLS", "JOBS", "STEP_S", "DeciderProcess", "Order", "World"]
@@ -87,10 +87,10 @@
         self.notes: list[LogEvent] = []
         self.looked_at: dict[str, float] = {}
         self.apply(self.scheduler.configured(world.config))
-        taken = Taken.record(epoch, f"life-{epoch}")
+        taken = EpochClaim.record(epoch, f"life-{epoch}")
         world.store.append(JOBS, (taken,), Writer(epoch, 1))
         left = world.store.newest(JOBS).records
-        self.marks = Marks(left)
+        self.marks = DigestTracker(left)
         self.scheduler.restore(left, world.now)
         self.halls_from = -1
         self.read_orders()
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -178,7 +178,7 @@
     ),
     Mutant(
         "native: kept: a new life decides in an epoch of the life before",
-        (("statemark.py", "NotWhole(Verdict.USED, reason)", "None"),),
+        (("statedigest.py", "IncompleteRead(Verdict.USED, reason)", "None"),),
         "succession",
     ),
     Mutant(
@@ -188,7 +188,7 @@
     ),
     Mutant(
         "native: kept: a newer epoch that others follow puts nothing in doubt",
-        (("session.py", "            self._right.doubt()", "            pass"),),
+        (("session.py", "            self._leader_lease.doubt()", "            pass"),),
         "leaving_orders",
     ),
     Mutant(
