--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -12,7 +12,7 @@
 from behave import when
 
 from granitetrestle.boxes import BoxView
-from granitetrestle.boxlife import BoxKeeper
+from granitetrestle.boxpoller import BoxPoller
 from granitetrestle.calls import Caller
 from granitetrestle.calls import CallFailure
 from granitetrestle.calls import Reply
@@ -108,7 +108,7 @@
 
 
 def keeper(incarnation, calls, scheduler, budget):
-    return BoxKeeper(
+    return BoxPoller(
         incarnation,
         "a",
         1,
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -8,8 +8,6 @@
 from behave import then
 from behave import when
 
-from granitetrestle.comeback import FollowingOutage
-from granitetrestle.comeback import SteadyReturns
 from granitetrestle.decisions import AcknowledgeEnds
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StopTask
@@ -23,6 +21,8 @@
 from granitetrestle.interfaces import RunningTask
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.mechanisms import Mechanism
+from granitetrestle.retryafter import FollowingOutage
+from granitetrestle.retryafter import SteadyRetries
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.waitingorder import waiting_tasks
@@ -54,7 +54,7 @@
     "each is told when to come back as shipped, and as with steady_returns switched off"
 )
 def both_ways(context):
-    context.shipped = play_outage(SteadyReturns(), context.outage)
+    context.shipped = play_outage(SteadyRetries(), context.outage)
     context.plain = play_outage(FollowingOutage(), context.outage)
 
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -7,7 +7,7 @@
 from behave import then
 from behave import when
 
-from granitetrestle.boxlife import BoxKeeper
+from granitetrestle.boxpoller import BoxPoller
 from granitetrestle.commandwindow import CommandWindow
 from granitetrestle.commandwindow import UnlimitedWindow
 from granitetrestle.decisions import StartTask
@@ -83,7 +83,7 @@
 
     async def script():
         keepers = [
-            BoxKeeper(
+            BoxPoller(
                 f"b{number}",
                 "a",
                 1,
@@ -297,7 +297,7 @@
 def looks_on(context, span, lag):
     async def script():
         measured = LoopLag()
-        keeper = BoxKeeper(
+        keeper = BoxPoller(
             "b",
             "a",
             1,
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -6,7 +6,7 @@
 from behave import when
 
 from granitetrestle.boxes import BoxView
-from granitetrestle.boxlife import BoxKeeper
+from granitetrestle.boxpoller import BoxPoller
 from granitetrestle.commandwindow import CommandWindow
 from granitetrestle.decisions import StopTask
 from granitetrestle.interfaces import BoxCalls
@@ -65,9 +65,9 @@
 @then("the disturbing image is found, and the harmless one is not blamed")
 def found(context):
     assert context.found_at is not None and context.found_at <= 2.0, context.found_at
-    for filler, strength in STRENGTHS.items():
-        seen = context.interference.strength("serving", filler)
-        assert abs(seen - strength) < 1.0, (filler, seen)
+    for filler, sensitivity in STRENGTHS.items():
+        seen = context.interference.sensitivity("serving", filler)
+        assert abs(seen - sensitivity) < 1.0, (filler, seen)
 
 
 @then("a successor that takes up what was written knows it too")
@@ -207,7 +207,7 @@
 def thirty_stops(context):
     async def wave():
         scheduler = Scheduler(SchedulerParameters(), 0.0)
-        keeper = BoxKeeper(
+        keeper = BoxPoller(
             "b1",
             "a",
             1,
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -278,12 +278,12 @@
         for number in range(30):
             busy = load * (1.3 if number % 3 == 0 else 1.0)
             level = idle / (1.0 - busy) + draw.gauss(0.0, 0.01)
-            context.interference.idle_tails.saw("s", level)
+            context.interference.unloaded_tails.saw("s", level)
 
 
 @then("after 16 seconds of looks it is known within {within:g}, also beside what fills")
 def idle_known(context, within):
-    learnt = context.interference.idle_tails.of("s")
+    learnt = context.interference.unloaded_tails.of("s")
     assert abs(learnt - context.idle) <= within, learnt
 
 
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -17,7 +17,6 @@
 from granitetrestle.calls import Caller
 from granitetrestle.calls import CallFailure
 from granitetrestle.calls import Reply
-from granitetrestle.comeback import SteadyReturns
 from granitetrestle.forwarding import ClientCall
 from granitetrestle.interfaces import Config
 from granitetrestle.interfaces import Queue
@@ -31,6 +30,7 @@
 from granitetrestle.peerlink import PeerLink
 from granitetrestle.platform.server import FrontResponder
 from granitetrestle.platform.store import PlatformStore
+from granitetrestle.retryafter import SteadyRetries
 from granitetrestle.session import Session
 from granitetrestle.shardstate import SchedulerParameters
 
@@ -245,7 +245,7 @@
             self._leader_lease = JournalLeaderLease(
                 self, SchedulerParameters().orphan_s, LoopLag()
             )
-            self._come_back = SteadyReturns()
+            self._come_back = SteadyRetries()
 
         config = CONFIG
         fresh = True
--- a/src/granitetrestle/boxlife.py
+++ b/src/granitetrestle/boxpoller.py
@@ -29,7 +29,7 @@
 from .pollbudget import PollParameters
 from .scheduler import Scheduler
 
-__all__ = ["BoxKeeper"]
+__all__ = ["BoxPoller"]
 
 # How long a look waits for ends to become durable before it goes out all the same,
 # to renew the lease.
@@ -45,7 +45,7 @@
 COMMAND_TRIES: t.Final = 3
 
 
-class BoxKeeper:
+class BoxPoller:
     """The connection between the decider and one life of a box.
 
     :param apply: takes decisions that follow from what was learnt.
--- a/src/granitetrestle/dispatch.py
+++ b/src/granitetrestle/dispatch.py
@@ -18,8 +18,8 @@
 from .decisions import LogEvent
 from .decisions import StartTask
 from .headroom import Headroom
-from .headroom import KeptBoxes
 from .headroom import NoHeadroom
+from .headroom import ReservedBoxes
 from .interfaces import Advice
 from .interfaces import AdviceUnavailable
 from .mechanisms import Mechanism
@@ -87,7 +87,7 @@
         self._progress = progress
         self.packer = packer or _default_packer(state)
         headroom = state.on(Mechanism.HEADROOM)
-        self._headroom: Headroom = KeptBoxes() if headroom else NoHeadroom()
+        self._headroom: Headroom = ReservedBoxes() if headroom else NoHeadroom()
         indexed = state.on(Mechanism.INDEX)
         self._search: BoxSearch = IndexedSearch() if indexed else PlainSearch()
         self._order = _waiting_order(state)
--- a/src/granitetrestle/headroom.py
+++ b/src/granitetrestle/headroom.py
@@ -8,7 +8,7 @@
 from .boxes import BoxView
 from .shardstate import WaitingStep
 
-__all__ = ["Headroom", "KeptBoxes", "NoHeadroom"]
+__all__ = ["Headroom", "ReservedBoxes", "NoHeadroom"]
 
 # Share of a pool kept before any short work was seen, and at most.
 FIRST_SHARE: t.Final = 0.08
@@ -85,7 +85,7 @@
         return False
 
 
-class KeptBoxes(Headroom):
+class ReservedBoxes(Headroom):
     """Keeps whole boxes, so that wide tasks find room in one piece where lasting work
     takes nearly all of it."""
 
--- a/src/granitetrestle/interference.py
+++ b/src/granitetrestle/interference.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .idletails import IdleTails
+from .unloadedtails import UnloadedTails
 
 __all__ = ["Interference", "PairRow"]
 
@@ -121,7 +121,7 @@
 
 
 _UNSEEN: t.Final = _Pair()
-UNSEEN_STRENGTH: t.Final = _UNSEEN.mean
+UNSEEN_SENSITIVITY: t.Final = _UNSEEN.mean
 UNSEEN_STRONG: t.Final = _UNSEEN.chance_strong >= STRONG_SHARE
 
 
@@ -139,37 +139,37 @@
         # What is asked for each box and task is kept ready, by (serving, filler).
         self._means: dict[tuple[str, str], float] = {}
         self._strong: dict[tuple[str, str], bool] = {}
-        self._openness: dict[frozenset[str], float] = {}
+        self._compatible_shares: dict[frozenset[str], float] = {}
         self.fillers: set[str] = set()
-        self.idle_tails = IdleTails(learns_tails)
+        self.unloaded_tails = UnloadedTails(learns_tails)
 
-    def strength(self, serving: str, filler: str) -> float:
+    def sensitivity(self, serving: str, filler: str) -> float:
         """Return by how much ``filler`` stretches ``serving`` with a whole box."""
-        return self._means.get((serving, filler), UNSEEN_STRENGTH)
+        return self._means.get((serving, filler), UNSEEN_SENSITIVITY)
 
     def strong(self, serving: str, filler: str) -> bool:
         """Say whether ``filler`` is known or must be expected to disturb ``serving``."""
         return self._strong.get((serving, filler), UNSEEN_STRONG)
 
-    def openness(self, serving: t.Collection[str]) -> float:
+    def compatible_share(self, serving: t.Collection[str]) -> float:
         """Return the share of the images that fill which disturb none of ``serving``."""
         if not serving or not self.fillers:
             return 1.0
         images = frozenset(serving)
-        share = self._openness.get(images)
+        share = self._compatible_shares.get(images)
         if share is None:
             harmless = sum(
                 not any(self.strong(image, filler) for image in images)
                 for filler in self.fillers
             )
-            share = self._openness[images] = harmless / len(self.fillers)
+            share = self._compatible_shares[images] = harmless / len(self.fillers)
         return share
 
     def add_filler(self, image: str) -> None:
         """Note that an image fills."""
         if image not in self.fillers:
             self.fillers.add(image)
-            self._openness.clear()
+            self._compatible_shares.clear()
 
     def _known_pair(self, serving: str, filler: str) -> _Pair:
         """Return a pair of which something may be learnt."""
@@ -185,7 +185,7 @@
         key = (serving, filler)
         strong = pair.chance_strong >= STRONG_SHARE
         if self._strong.get(key, UNSEEN_STRONG) != strong:
-            self._openness.clear()
+            self._compatible_shares.clear()
         self._strong[key] = strong
         self._means[key] = pair.mean
 
@@ -195,7 +195,8 @@
         :param beside: image that fills -> share of the box's processors it takes.
         """
         return sum(
-            share * self.strength(serving, filler) for filler, share in beside.items()
+            share * self.sensitivity(serving, filler)
+            for filler, share in beside.items()
         )
 
     def doubt(self, serving: str, beside: t.Mapping[str, float]) -> float:
--- a/src/granitetrestle/overload.py
+++ b/src/granitetrestle/overload.py
@@ -42,7 +42,7 @@
 
     unused: float
     serving: tuple[ServingLoad, ...]
-    openness: float
+    compatible_share: float
 
 
 def _fill_shares(box: BoxView) -> dict[str, float]:
@@ -72,7 +72,7 @@
 
 
 def _aim(task: Task, interference: Interference) -> float:
-    return min(AIM_BUSY, 1.0 - interference.idle_tails.of(task.spec.image))
+    return min(AIM_BUSY, 1.0 - interference.unloaded_tails.of(task.spec.image))
 
 
 def box_load(box: BoxView, interference: Interference, now: float) -> BoxLoad:
@@ -103,8 +103,8 @@
         ServingLoad(image, bearable - interference.stretch(image, shares))
         for image, bearable in spares.items()
     )
-    openness = interference.openness(spares)
-    return BoxLoad(box.cpu_free + idle - box.best_effort_cpu, serving, openness)
+    compatible_share = interference.compatible_share(spares)
+    return BoxLoad(box.cpu_free + idle - box.best_effort_cpu, serving, compatible_share)
 
 
 def bearable_pace(
@@ -117,7 +117,7 @@
     share = step.cpu / box.entry.cpu
     pace = 1.0
     for image, spare in load.serving:
-        need = share * interference.strength(image, step.image)
+        need = share * interference.sensitivity(image, step.image)
         if need > spare and interference.strong(image, step.image):
             pace = min(pace, max(0.0, spare) / need)
     return pace
--- a/src/granitetrestle/pacing.py
+++ b/src/granitetrestle/pacing.py
@@ -99,8 +99,8 @@
     now: float,
 ) -> None:
     image = task.spec.image
-    interference.idle_tails.saw(image, level)
-    busy = interference.idle_tails.busy_share(image, level)
+    interference.unloaded_tails.saw(image, level)
+    busy = interference.unloaded_tails.busy_share(image, level)
     load = box.loads[task.name] = loads.of(task)
     # A backlog shows in the tail long after its cause: learn from its rise alone.
     draining = now - box.over.get(task.name, -DRAIN_S) < DRAIN_S
@@ -196,7 +196,7 @@
     filler = task.spec.image
     needs = {}
     for image in {serving.spec.image for serving in box.serving.values()}:
-        stretch = share * interference.strength(image, filler)
+        stretch = share * interference.sensitivity(image, filler)
         needs[image] = Need(stretch, interference.strong(image, filler))
     return needs
 
--- a/src/granitetrestle/packing.py
+++ b/src/granitetrestle/packing.py
@@ -158,8 +158,8 @@
         """Return how much less open a box that serves ``images`` would become."""
         closes = self._closes.get(images)
         if closes is None:
-            closes = self._interference.openness(images)
-            closes -= self._interference.openness(images | {self._image})
+            closes = self._interference.compatible_share(images)
+            closes -= self._interference.compatible_share(images | {self._image})
             self._closes[images] = closes
         return closes
 
@@ -207,5 +207,5 @@
         if pace < self._least_pace:
             return None
         worth = pace + ROOM_WEIGHT * load.unused / box.entry.cpu
-        worth -= OPENNESS_WEIGHT * load.openness
+        worth -= OPENNESS_WEIGHT * load.compatible_share
         return (-worth, box.incarnation)
--- a/src/granitetrestle/comeback.py
+++ b/src/granitetrestle/retryafter.py
@@ -6,14 +6,14 @@
 import abc
 import typing as t
 
-__all__ = ["ComeBack", "FollowingOutage", "SteadyReturns"]
+__all__ = ["RetryAfter", "FollowingOutage", "SteadyRetries"]
 
 # Whole seconds, since that is what the header carries.
 LEAST_S: t.Final = 1
 MOST_S: t.Final = 4
 
 
-class ComeBack(abc.ABC):
+class RetryAfter(abc.ABC):
     """Says when to come back, in seconds."""
 
     @abc.abstractmethod
@@ -21,16 +21,16 @@
         """Return it for a store that has been away for ``away_s`` seconds."""
 
 
-class FollowingOutage(ComeBack):
+class FollowingOutage(RetryAfter):
     """Baseline: as long as the store has been away. Whoever comes early returns a whole
     outage after its end."""
 
     def after_s(self, away_s: float) -> int:
-        """See :meth:`ComeBack.after_s`."""
+        """See :meth:`RetryAfter.after_s`."""
         return max(LEAST_S, min(MOST_S, round(away_s)))
 
 
-class SteadyReturns(ComeBack):
+class SteadyRetries(RetryAfter):
     """At intervals that hardly grow: five tries, which the clients of all deployments seen
     have, reach over twelve seconds of outage. Of clients that come at any moment of an
     outage of 4.2 s each is accepted 3.3 s after its first try at the mean, instead of
@@ -41,7 +41,7 @@
     STAGES: t.ClassVar = ((4.0, 2), (8.0, 3))
 
     def after_s(self, away_s: float) -> int:
-        """See :meth:`ComeBack.after_s`."""
+        """See :meth:`RetryAfter.after_s`."""
         for until_s, after_s in self.STAGES:
             if away_s < until_s:
                 return after_s
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -8,12 +8,9 @@
 import anyio.abc
 
 from . import steadyclock
-from .boxlife import BoxKeeper
+from .boxpoller import BoxPoller
 from .collector import made_to_stay
 from .collector import take_back
-from .comeback import ComeBack
-from .comeback import FollowingOutage
-from .comeback import SteadyReturns
 from .commandwindow import CommandWindow
 from .commandwindow import UnlimitedWindow
 from .decisions import GATED
@@ -52,6 +49,9 @@
 from .nodelog import NodeLog
 from .nodemetrics import NodeMetrics
 from .pollbudget import PollBudget
+from .retryafter import FollowingOutage
+from .retryafter import RetryAfter
+from .retryafter import SteadyRetries
 from .scheduler import Scheduler
 from .shardstate import SchedulerParameters
 from .slices import in_slices
@@ -114,9 +114,9 @@
         parts = (sources, self._scheduler, self._apply, log)
         self._operators = OperatorFeed(*parts)
         self._listed = BoxFeed(*parts)
-        self._keepers: dict[str, BoxKeeper] = {}
+        self._keepers: dict[str, BoxPoller] = {}
         steady = Mechanism.STEADY_RETURNS not in parameters.off
-        self._come_back: ComeBack = SteadyReturns() if steady else FollowingOutage()
+        self._come_back: RetryAfter = SteadyRetries() if steady else FollowingOutage()
         limited = Mechanism.COMMAND_WINDOW not in parameters.off
         self._window = CommandWindow(lag=self._lag) if limited else UnlimitedWindow()
         self._budget = PollBudget(parameters.connections)
@@ -342,7 +342,7 @@
             self._journal.nudge()
 
     def _watch(self, decision: WatchBox) -> None:
-        keeper = BoxKeeper(
+        keeper = BoxPoller(
             decision.incarnation,
             decision.address,
             self._epoch,
--- a/src/granitetrestle/idletails.py
+++ b/src/granitetrestle/unloadedtails.py
@@ -4,7 +4,7 @@
 
 import typing as t
 
-__all__ = ["IdleTails"]
+__all__ = ["UnloadedTails"]
 
 # Share of busy time at the load that the shortest tails show.
 LEAST_BUSY: t.Final = 0.25
@@ -19,7 +19,7 @@
 LONGEST: t.Final = 0.5
 
 
-class IdleTails:
+class UnloadedTails:
     """Follows the shortest tails of each image, so that what fills is paced right also
     where tails are longer than the prior says.
 
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -183,7 +183,7 @@
     ),
     Mutant(
         "native: kept: starts leave however old the right is",
-        (("boxlife.py", "rests_on_right = kind != FIRST", "rests_on_right = False"),),
+        (("boxpoller.py", "rests_on_right = kind != FIRST", "rests_on_right = False"),),
         "leaving_orders",
     ),
     Mutant(
