--- a/src/granitetrestle_bench/deciding.py
+++ b/src/granitetrestle_bench/deciding.py
@@ -84,7 +84,7 @@
 
     boxes: int
     decide: float
-    polls: float
+    looks: float
     write: float
     written_mb_s: float
     starts_s: float
