--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -16,8 +16,8 @@
 from granitetrestle.interference import Interference
 from granitetrestle.looplag import LoopLag
 from granitetrestle.nodemetrics import NodeMetrics
-from granitetrestle.overload import bearable_pace
 from granitetrestle.overload import box_load
+from granitetrestle.overload import tolerable_pace
 from granitetrestle.pacing import StepLoads
 from granitetrestle.pacing import observe
 from granitetrestle.pacing import pace_changes
@@ -46,47 +46,53 @@
         for number in range(6):
             beside = {"bad": 0.1, "mild": 0.1} if number < 3 else {"mild": 0.1}
             busy = at_rest * (1.0 + sum(STRENGTHS[f] * x for f, x in beside.items()))
-            context.interference.saw(
-                "serving", busy, load.at(now), load.variance, beside
+            context.interference.observe(
+                "serving", busy, load.predict(now), load.variance, beside
             )
-            load.saw(
+            load.observe(
                 busy,
-                context.interference.stretch("serving", beside),
-                context.interference.doubt("serving", beside),
+                context.interference.slowdown("serving", beside),
+                context.interference.slowdown_variance("serving", beside),
                 now,
             )
-        strong = context.interference.strong
-        if strong("serving", "bad") and not strong("serving", "mild"):
+        highly_sensitive = context.interference.highly_sensitive
+        if highly_sensitive("serving", "bad") and not highly_sensitive(
+            "serving", "mild"
+        ):
             context.found_at = context.found_at or now
         if tick > 10:
-            assert abs(load.at(now) - at_rest) < 0.08, (now, load.at(now), at_rest)
+            assert abs(load.predict(now) - at_rest) < 0.08, (
+                now,
+                load.predict(now),
+                at_rest,
+            )
 
 
 @then("the disturbing image is found, and the harmless one is not blamed")
 def found(context):
     assert context.found_at is not None and context.found_at <= 2.0, context.found_at
-    for filler, sensitivity in STRENGTHS.items():
-        seen = context.interference.sensitivity("serving", filler)
-        assert abs(seen - sensitivity) < 1.0, (filler, seen)
+    for best_effort, sensitivity in STRENGTHS.items():
+        seen = context.interference.sensitivity("serving", best_effort)
+        assert abs(seen - sensitivity) < 1.0, (best_effort, seen)
 
 
 @then("a successor that takes up what was written knows it too")
 def handed_over(context):
     successor = Interference()
-    for image, row in context.interference.take_rows().items():
+    for image, row in context.interference.take_changed_rows().items():
         successor.restore(image, row)
-    assert successor.strong("serving", "bad")
-    assert not successor.strong("serving", "mild")
-    assert successor.fillers == set(STRENGTHS)
-    assert not context.interference.take_rows(), "nothing has changed since"
+    assert successor.highly_sensitive("serving", "bad")
+    assert not successor.highly_sensitive("serving", "mild")
+    assert successor.best_effort_images == set(STRENGTHS)
+    assert not context.interference.take_changed_rows(), "nothing has changed since"
 
 
 @given("a box with serving tasks that bear little")
 def busy_box(context):
     context.interference = Interference()
     for _ in range(20):
-        context.interference.saw("serving", 0.76, 0.5, 0.001, {"strong": 0.1})
-        context.interference.saw("serving", 0.51, 0.5, 0.001, {"weak": 0.1})
+        context.interference.observe("serving", 0.76, 0.5, 0.001, {"strong": 0.1})
+        context.interference.observe("serving", 0.51, 0.5, 0.001, {"weak": 0.1})
     steps = (
         Step(count=2, cpu=4000, long_running=True, image="serving", target_ms=100.0),
         Step(count=2, cpu=8000, image="strong", best_effort=True),
@@ -118,9 +124,9 @@
         task.set_pace(percent, 10.0)
     step = Step(count=1, cpu=8000, image="strong", best_effort=True)
     load = box_load(context.box, context.interference, 10.5)
-    assert bearable_pace(step, context.box, load, context.interference) == 0.0
+    assert tolerable_pace(step, context.box, load, context.interference) == 0.0
     weak = Step(count=1, cpu=1000, image="weak", best_effort=True)
-    assert bearable_pace(weak, context.box, load, context.interference) == 1.0
+    assert tolerable_pace(weak, context.box, load, context.interference) == 1.0
 
 
 @given("a serving task that is over its target beside an image held for harmless")
@@ -139,16 +145,16 @@
         box.place(task)
     context.interference = Interference()
     for _ in range(200):
-        context.interference.saw("serving", 0.5, 0.5, 0.001, {"filler": 0.125})
+        context.interference.observe("serving", 0.5, 0.5, 0.001, {"filler": 0.125})
     context.names = [task.name for task in workflow.tasks.values()]
 
 
 def poll(context, now, figure):
     """Let the decider see the box, and return the paces it then wants."""
-    serving, filler = context.names
+    serving, best_effort = context.names
     context.box.running = {
         serving: RunningTask(serving, 1, "", 0, figure),
-        filler: RunningTask(filler, 1, "", 0, 4000.0),
+        best_effort: RunningTask(best_effort, 1, "", 0, 4000.0),
     }
     # The figure of one task alone teaches nothing: there is no sibling.
     observe(context.box, context.loads, context.interference, now)
@@ -171,11 +177,11 @@
     assert poll(context, 12.5, 90.0) == []
     step = Step(count=1, cpu=1000, image="unknown", best_effort=True)
     load = box_load(context.box, context.interference, 12.5)
-    assert bearable_pace(step, context.box, load, context.interference) == 0.0
+    assert tolerable_pace(step, context.box, load, context.interference) == 0.0
     # Well below the target, it goes on.
     assert poll(context, 13.5, 30.0) != []
     load = box_load(context.box, context.interference, 13.5)
-    assert bearable_pace(step, context.box, load, context.interference) > 0.0
+    assert tolerable_pace(step, context.box, load, context.interference) > 0.0
 
 
 class CountingBox(BoxCalls):
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -27,10 +27,10 @@
 from granitetrestle.jobcalls import SubmitJob
 from granitetrestle.mechanisms import Mechanism
 from granitetrestle.mechanisms import parse_switched_off
-from granitetrestle.overload import bearable_stretch
+from granitetrestle.overload import tolerable_slowdown
 from granitetrestle.progress import Progress
 from granitetrestle.scheduler import Scheduler
-from granitetrestle.serviceload import MEAN_BUSY
+from granitetrestle.serviceload import MEAN_BUSY_SHARE
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.tasktimes import PHASES
 from granitetrestle.workflows import Step
@@ -278,12 +278,12 @@
         for number in range(30):
             busy = load * (1.3 if number % 3 == 0 else 1.0)
             level = idle / (1.0 - busy) + draw.gauss(0.0, 0.01)
-            context.interference.unloaded_tails.saw("s", level)
+            context.interference.unloaded_tails.observe("s", level)
 
 
 @then("after 16 seconds of looks it is known within {within:g}, also beside what fills")
 def idle_known(context, within):
-    learnt = context.interference.unloaded_tails.of("s")
+    learnt = context.interference.unloaded_tails.tail_share("s")
     assert abs(learnt - context.idle) <= within, learnt
 
 
@@ -293,8 +293,8 @@
     workflow = Workflow(Submission("1", "q", "pool", "", (step,)), 0.0)
     (task,) = workflow.tasks.values()
     entry = Desk(1).entries["b0"]
-    stretch = bearable_stretch(BoxView(entry, 0.0), task, context.interference, 10.0)
-    busy = (1.0 + stretch) * MEAN_BUSY
+    slowdown = tolerable_slowdown(BoxView(entry, 0.0), task, context.interference, 10.0)
+    busy = (1.0 + slowdown) * MEAN_BUSY_SHARE
     assert context.idle / (1.0 - busy) <= 1.1, (busy, context.idle)
 
 
--- a/src/granitetrestle/boxsearch.py
+++ b/src/granitetrestle/boxsearch.py
@@ -177,7 +177,7 @@
         boxes = preferred(self._step, self._narrow(self.able()))
         heap = []
         for box in boxes:
-            rank = self._ranking.of(box)
+            rank = self._ranking.rank(box)
             if rank is not None:
                 heap.append((rank, box.incarnation, box))
         heapq.heapify(heap)
@@ -187,6 +187,6 @@
         assert self._heap is not None
         if not suits(self._step, self._task, box):
             return
-        rank = self._ranking.of(box)
+        rank = self._ranking.rank(box)
         if rank is not None:
             heapq.heappush(self._heap, (rank, box.incarnation, box))
--- a/src/granitetrestle/dispatch.py
+++ b/src/granitetrestle/dispatch.py
@@ -24,12 +24,12 @@
 from .interfaces import AdviceUnavailable
 from .mechanisms import Mechanism
 from .pacing import slowed_tasks
-from .packing import FirstBox
-from .packing import KeepApart
+from .packing import FirstFitPacker
+from .packing import InterferenceAwarePacker
 from .packing import Packer
 from .packing import best_box
-from .packing import better_box
-from .packing import least_filled
+from .packing import fewest_best_effort
+from .packing import move_target
 from .progress import Progress
 from .shardstate import ShardState
 from .shardstate import WaitingStep
@@ -218,7 +218,7 @@
             if kind not in self._no_box:
                 box = search.best()
             if box is None and self._starved(entry, step, now):
-                box = least_filled(self._ticketed(entry, search.able()))
+                box = fewest_best_effort(self._ticketed(entry, search.able()))
                 if box is not None:
                     search.taken(box)
             if (
@@ -282,7 +282,7 @@
             search = self._begin(entry, pool, now)
             boxes = self._narrowed(entry, search.able(), now)
             boxes = preferred(entry.spec, boxes)
-            bearable = [box for box in boxes if ranking.of(box) is not None]
+            bearable = [box for box in boxes if ranking.rank(box) is not None]
             if not bearable:
                 break
             box = min(bearable, key=trials.rank)
@@ -455,7 +455,7 @@
     def _better_box(self, task: Task, now: float) -> BoxView | None:
         pool = self._state.index.pool(self._state.service_of(task.workflow))
         able = (box for box in pool.boxes.values() if suits(task.spec, task, box))
-        return better_box(task, able, self._state.interference, now)
+        return move_target(task, able, self._state.interference, now)
 
 
 def _aged_rank(entry: WaitingStep) -> tuple[float, int]:
@@ -468,8 +468,8 @@
 
 def _default_packer(state: ShardState) -> Packer:
     if not state.on(Mechanism.PACKING):
-        return FirstBox()
-    return KeepApart(grouping=state.on(Mechanism.GROUPING))
+        return FirstFitPacker()
+    return InterferenceAwarePacker(grouping=state.on(Mechanism.GROUPING))
 
 
 def _waiting_order(state: ShardState) -> WaitingOrder:
--- a/src/granitetrestle/interference.py
+++ b/src/granitetrestle/interference.py
@@ -16,42 +16,42 @@
 # Strength: by how much a pair stretches work when the filler takes the whole box.
 # Means and variances of weak and of strong pairs, and the share of strong ones. They
 # stand for a pair until looks tell.
-WEAK: t.Final = 0.4
-WEAK_VARIANCE: t.Final = 0.09
-STRONG: t.Final = 4.6
-STRONG_VARIANCE: t.Final = 3.0
-STRONG_SHARE: t.Final = 0.5
-STRONGEST: t.Final = 10.0
+LOW_SENSITIVITY: t.Final = 0.4
+LOW_SENSITIVITY_VARIANCE: t.Final = 0.09
+HIGH_SENSITIVITY: t.Final = 4.6
+HIGH_SENSITIVITY_VARIANCE: t.Final = 3.0
+INITIAL_HIGH_PROBABILITY: t.Final = 0.5
+MAX_SENSITIVITY: t.Final = 10.0
 # Figures are rough: deviation of a busy share from the fitted model, same looks.
-BUSY_NOISE: t.Final = 0.08
+BUSY_SHARE_DEVIATION: t.Final = 0.08
 # Looks that follow each other show much of the same figures, so each counts less.
-REPEATED: t.Final = 2.0
+REPEATED_SAMPLE_FACTOR: t.Final = 2.0
 # A pair can always be believed otherwise again within a few looks.
-MOST_LOG_ODDS: t.Final = 6.0
+MAX_LOG_ODDS: t.Final = 6.0
 # No estimate is taken for more certain than this (as a variance).
-LEAST_VARIANCE: t.Final = 0.02
+MIN_SENSITIVITY_VARIANCE: t.Final = 0.02
 # Below this share of a box nothing is learnt of an image.
-LEAST_SHARE: t.Final = 0.01
+MIN_CPU_SHARE: t.Final = 0.01
 # A task this busy may be busier than can be told from its tail.
-SATURATED: t.Final = 0.9
+SATURATED_BUSY_SHARE: t.Final = 0.9
 
 
 class PairRow(msgspec.Struct, frozen=True, array_like=True):
     """What is kept of a pair, so that a successor need not learn it again."""
 
-    filler: str
+    best_effort: str
     log_odds: float
-    weak: float
-    weak_variance: float
-    strong: float
-    strong_variance: float
+    low: float
+    low_variance: float
+    high: float
+    high_variance: float
 
 
 _encode = msgspec.msgpack.Encoder().encode
 _rows = msgspec.msgpack.Decoder(list[PairRow])
 
 
-class _Belief:
+class _Estimate:
     """A Gaussian estimate of a strength."""
 
     __slots__ = ("mean", "variance")
@@ -60,21 +60,23 @@
         self.mean = mean
         self.variance = variance
 
-    def surprise(self, stretch: float, share: float, noise: float) -> float:
-        """Return the log-likelihood of ``stretch``, up to a constant."""
+    def log_likelihood(self, slowdown: float, share: float, noise: float) -> float:
+        """Return the log-likelihood of ``slowdown``, up to a constant."""
         variance = noise + share * share * self.variance
-        error = stretch - share * self.mean
+        error = slowdown - share * self.mean
         return -0.5 * (error * error / variance + math.log(variance))
 
-    def learn(
-        self, stretch: float, share: float, noise: float, bounds: tuple[float, float]
+    def update(
+        self, slowdown: float, share: float, noise: float, bounds: tuple[float, float]
     ) -> None:
         """Correct the estimate by what was seen (a Kalman step)."""
         variance = noise + share * share * self.variance
         gain = share * self.variance / variance
-        mean = self.mean + gain * (stretch - share * self.mean)
+        mean = self.mean + gain * (slowdown - share * self.mean)
         self.mean = max(bounds[0], min(bounds[1], mean))
-        self.variance = max(LEAST_VARIANCE, self.variance * (1.0 - gain * share))
+        self.variance = max(
+            MIN_SENSITIVITY_VARIANCE, self.variance * (1.0 - gain * share)
+        )
 
 
 class _Pair:
@@ -88,41 +90,55 @@
     __slots__ = ("chance_strong", "log_odds", "mean", "strong", "variance", "weak")
 
     def __init__(self) -> None:
-        self.log_odds = math.log(STRONG_SHARE / (1.0 - STRONG_SHARE))
-        self.weak = _Belief(WEAK, WEAK_VARIANCE)
-        self.strong = _Belief(STRONG, STRONG_VARIANCE)
-        self.settle()
+        self.log_odds = math.log(
+            INITIAL_HIGH_PROBABILITY / (1.0 - INITIAL_HIGH_PROBABILITY)
+        )
+        self.low = _Estimate(LOW_SENSITIVITY, LOW_SENSITIVITY_VARIANCE)
+        self.high = _Estimate(HIGH_SENSITIVITY, HIGH_SENSITIVITY_VARIANCE)
+        self.recompute()
 
-    def settle(self) -> None:
+    def recompute(self) -> None:
         """Work out what follows from the odds and the two estimates."""
-        chance = self.chance_strong = 1.0 / (1.0 + math.exp(-self.log_odds))
-        apart = self.strong.mean - self.weak.mean
-        within = chance * self.strong.variance + (1.0 - chance) * self.weak.variance
-        self.mean = chance * self.strong.mean + (1.0 - chance) * self.weak.mean
-        self.variance = within + chance * (1.0 - chance) * apart * apart
+        probability = self.high_probability = 1.0 / (1.0 + math.exp(-self.log_odds))
+        difference = self.high.mean - self.low.mean
+        within = (
+            probability * self.high.variance + (1.0 - probability) * self.low.variance
+        )
+        self.mean = probability * self.high.mean + (1.0 - probability) * self.low.mean
+        self.variance = (
+            within + probability * (1.0 - probability) * difference * difference
+        )
 
-    def learn(self, stretch: float, share: float, noise: float, exact: bool) -> None:
+    def update(
+        self, slowdown: float, share: float, noise: float, measured: bool
+    ) -> None:
         """Learn from the stretch that this pair alone must have caused.
 
         :param exact: whether the stretch was measured, not only known to be so great.
         """
-        gained = self.strong.surprise(stretch, share, noise)
-        gained -= self.weak.surprise(stretch, share, noise)
-        odds = self.log_odds + gained
-        self.log_odds = max(-MOST_LOG_ODDS, min(MOST_LOG_ODDS, odds))
-        if exact:
-            chance = 1.0 / (1.0 + math.exp(-self.log_odds))
+        log_ratio = self.high.log_likelihood(slowdown, share, noise)
+        log_ratio -= self.low.log_likelihood(slowdown, share, noise)
+        odds = self.log_odds + log_ratio
+        self.log_odds = max(-MAX_LOG_ODDS, min(MAX_LOG_ODDS, odds))
+        if measured:
+            probability = 1.0 / (1.0 + math.exp(-self.log_odds))
             # Each estimate learns as far as it is the one that holds.
-            if chance > 0.5:
-                self.strong.learn(stretch, share, noise / chance, (1.5, STRONGEST))
+            if probability > 0.5:
+                self.high.update(
+                    slowdown, share, noise / probability, (1.5, MAX_SENSITIVITY)
+                )
             else:
-                self.weak.learn(stretch, share, noise / (1.0 - chance), (0.0, 1.2))
-        self.settle()
+                self.low.update(
+                    slowdown, share, noise / (1.0 - probability), (0.0, 1.2)
+                )
+        self.recompute()
 
 
-_UNSEEN: t.Final = _Pair()
-UNSEEN_SENSITIVITY: t.Final = _UNSEEN.mean
-UNSEEN_STRONG: t.Final = _UNSEEN.chance_strong >= STRONG_SHARE
+_INITIAL_PAIR: t.Final = _Pair()
+INITIAL_SENSITIVITY: t.Final = _INITIAL_PAIR.mean
+INITIALLY_HIGHLY_SENSITIVE: t.Final = (
+    _INITIAL_PAIR.high_probability >= INITIAL_HIGH_PROBABILITY
+)
 
 
 class Interference:
@@ -138,117 +154,137 @@
         self._changed: set[str] = set()
         # What is asked for each box and task is kept ready, by (serving, filler).
         self._means: dict[tuple[str, str], float] = {}
-        self._strong: dict[tuple[str, str], bool] = {}
+        self._highly_sensitive: dict[tuple[str, str], bool] = {}
         self._compatible_shares: dict[frozenset[str], float] = {}
-        self.fillers: set[str] = set()
+        self.best_effort_images: set[str] = set()
         self.unloaded_tails = UnloadedTails(learns_tails)
 
-    def sensitivity(self, serving: str, filler: str) -> float:
-        """Return by how much ``filler`` stretches ``serving`` with a whole box."""
-        return self._means.get((serving, filler), UNSEEN_SENSITIVITY)
+    def sensitivity(self, serving: str, best_effort: str) -> float:
+        """Return by how much ``best_effort`` stretches ``serving`` with a whole box."""
+        return self._means.get((serving, best_effort), INITIAL_SENSITIVITY)
 
-    def strong(self, serving: str, filler: str) -> bool:
-        """Say whether ``filler`` is known or must be expected to disturb ``serving``."""
-        return self._strong.get((serving, filler), UNSEEN_STRONG)
+    def highly_sensitive(self, serving: str, best_effort: str) -> bool:
+        """Say whether ``best_effort`` is known or must be expected to disturb ``serving``."""
+        return self._highly_sensitive.get(
+            (serving, best_effort), INITIALLY_HIGHLY_SENSITIVE
+        )
 
     def compatible_share(self, serving: t.Collection[str]) -> float:
         """Return the share of the images that fill which disturb none of ``serving``."""
-        if not serving or not self.fillers:
+        if not serving or not self.best_effort_images:
             return 1.0
         images = frozenset(serving)
         share = self._compatible_shares.get(images)
         if share is None:
-            harmless = sum(
-                not any(self.strong(image, filler) for image in images)
-                for filler in self.fillers
+            compatible = sum(
+                not any(self.high(image, best_effort) for image in images)
+                for best_effort in self.best_effort_images
+            )
+            share = self._compatible_shares[images] = compatible / len(
+                self.best_effort_images
             )
-            share = self._compatible_shares[images] = harmless / len(self.fillers)
         return share
 
-    def add_filler(self, image: str) -> None:
+    def add_best_effort_image(self, image: str) -> None:
         """Note that an image fills."""
-        if image not in self.fillers:
-            self.fillers.add(image)
+        if image not in self.best_effort_images:
+            self.best_effort_images.add(image)
             self._compatible_shares.clear()
 
-    def _known_pair(self, serving: str, filler: str) -> _Pair:
+    def _get_or_add_pair(self, serving: str, best_effort: str) -> _Pair:
         """Return a pair of which something may be learnt."""
         known = self._pairs.setdefault(serving, {})
-        pair = known.get(filler)
+        pair = known.get(best_effort)
         if pair is None:
-            pair = known[filler] = _Pair()
-            self.add_filler(filler)
+            pair = known[best_effort] = _Pair()
+            self.add_best_effort_image(best_effort)
         return pair
 
-    def _learnt(self, serving: str, filler: str, pair: _Pair) -> None:
+    def _update_cached(self, serving: str, best_effort: str, pair: _Pair) -> None:
         """Keep ready what is asked of a pair."""
-        key = (serving, filler)
-        strong = pair.chance_strong >= STRONG_SHARE
-        if self._strong.get(key, UNSEEN_STRONG) != strong:
+        key = (serving, best_effort)
+        highly_sensitive = pair.high_probability >= INITIAL_HIGH_PROBABILITY
+        if (
+            self._highly_sensitive.get(key, INITIALLY_HIGHLY_SENSITIVE)
+            != highly_sensitive
+        ):
             self._compatible_shares.clear()
-        self._strong[key] = strong
+        self._highly_sensitive[key] = highly_sensitive
         self._means[key] = pair.mean
 
-    def stretch(self, serving: str, beside: t.Mapping[str, float]) -> float:
+    def slowdown(
+        self, serving: str, best_effort_shares: t.Mapping[str, float]
+    ) -> float:
         """Return by how much the work of ``serving`` is expected to be stretched.
 
         :param beside: image that fills -> share of the box's processors it takes.
         """
         return sum(
-            share * self.sensitivity(serving, filler)
-            for filler, share in beside.items()
+            share * self.sensitivity(serving, best_effort)
+            for best_effort, share in best_effort_shares.items()
         )
 
-    def doubt(self, serving: str, beside: t.Mapping[str, float]) -> float:
-        """Return the variance of :meth:`stretch`."""
+    def slowdown_variance(
+        self, serving: str, best_effort_shares: t.Mapping[str, float]
+    ) -> float:
+        """Return the variance of :meth:`slowdown`."""
         return sum(
-            share * share * self._pair(serving, filler).variance
-            for filler, share in beside.items()
+            share * share * self._pair(serving, best_effort).variance
+            for best_effort, share in best_effort_shares.items()
         )
 
-    def _pair(self, serving: str, filler: str) -> _Pair:
-        return self._pairs.get(serving, {}).get(filler, _UNSEEN)
+    def _pair(self, serving: str, best_effort: str) -> _Pair:
+        return self._pairs.get(serving, {}).get(best_effort, _INITIAL_PAIR)
 
-    def saw(
+    def observe(
         self,
         serving: str,
         busy: float,
         load: float,
         load_variance: float,
-        beside: t.Mapping[str, float],
+        best_effort_shares: t.Mapping[str, float],
     ) -> None:
         """Learn from a serving task seen ``busy``.
 
         :param load: for which share of its time it would be busy undisturbed.
-        :param beside: as for :meth:`stretch`.
+        :param beside: as for :meth:`slowdown`.
         """
-        beside = {image: x for image, x in beside.items() if x >= LEAST_SHARE}
-        if not beside or not self._learns:
+        best_effort_shares = {
+            image: x for image, x in best_effort_shares.items() if x >= MIN_CPU_SHARE
+        }
+        if not best_effort_shares or not self._learns:
             return
-        stretch = busy / load - 1.0
-        expected = self.stretch(serving, beside)
-        if busy > SATURATED and stretch < expected:
+        slowdown = busy / load - 1.0
+        expected = self.slowdown(serving, best_effort_shares)
+        if busy > SATURATED_BUSY_SHARE and slowdown < expected:
             return
-        noise = (BUSY_NOISE / load) ** 2
+        noise = (BUSY_SHARE_DEVIATION / load) ** 2
         noise += load_variance * ((1.0 + expected) / load) ** 2
-        noise *= REPEATED
-        pairs = {image: self._known_pair(serving, image) for image in beside}
-        unsure = sum(x * x * pairs[image].variance for image, x in beside.items())
-        error = stretch - expected
-        believed = [(pair.mean, pair.variance) for pair in pairs.values()]
+        noise *= REPEATED_SAMPLE_FACTOR
+        pairs = {
+            image: self._get_or_add_pair(serving, image) for image in best_effort_shares
+        }
+        total_variance = sum(
+            x * x * pairs[image].variance for image, x in best_effort_shares.items()
+        )
+        error = slowdown - expected
+        estimates = [(pair.mean, pair.variance) for pair in pairs.values()]
         for (image, share), (mean, variance) in zip(
-            beside.items(), believed, strict=True
+            best_effort_shares.items(), estimates, strict=True
         ):
-            alone = error + share * mean
-            unsure_of_others = unsure - share * share * variance
-            pairs[image].learn(
-                alone, share, noise + unsure_of_others, busy <= SATURATED
+            slowdown_of_pair = error + share * mean
+            variance_of_others = total_variance - share * share * variance
+            pairs[image].update(
+                slowdown_of_pair,
+                share,
+                noise + variance_of_others,
+                busy <= SATURATED_BUSY_SHARE,
             )
         for image, pair in pairs.items():
-            self._learnt(serving, image, pair)
+            self._update_cached(serving, image, pair)
         self._changed.add(serving)
 
-    def take_rows(self) -> dict[str, bytes]:
+    def take_changed_rows(self) -> dict[str, bytes]:
         """Return what was learnt since the last call, by serving image."""
         rows = {
             serving: _encode(
@@ -266,21 +302,21 @@
         """
         known = self._pairs.setdefault(serving, {})
         for row in _rows.decode(data):
-            pair = known[row.filler] = _Pair()
+            pair = known[row.best_effort] = _Pair()
             pair.log_odds = row.log_odds
-            pair.weak = _Belief(row.weak, row.weak_variance)
-            pair.strong = _Belief(row.strong, row.strong_variance)
-            pair.settle()
-            self.add_filler(row.filler)
-            self._learnt(serving, row.filler, pair)
+            pair.low = _Estimate(row.low, row.low_variance)
+            pair.high = _Estimate(row.high, row.high_variance)
+            pair.recompute()
+            self.add_best_effort_image(row.best_effort)
+            self._update_cached(serving, row.best_effort, pair)
 
 
-def _row(filler: str, pair: _Pair) -> PairRow:
+def _row(best_effort: str, pair: _Pair) -> PairRow:
     return PairRow(
-        filler,
+        best_effort,
         round(pair.log_odds, 2),
-        round(pair.weak.mean, 2),
-        round(pair.weak.variance, 3),
-        round(pair.strong.mean, 2),
-        round(pair.strong.variance, 3),
+        round(pair.low.mean, 2),
+        round(pair.low.variance, 3),
+        round(pair.high.mean, 2),
+        round(pair.high.variance, 3),
     )
--- a/src/granitetrestle/overload.py
+++ b/src/granitetrestle/overload.py
@@ -6,21 +6,21 @@
 
 from .boxes import BoxView
 from .interference import Interference
-from .serviceload import MEAN_BUSY
+from .serviceload import MEAN_BUSY_SHARE
 from .workflows import Step
 from .workflows import Task
 
-__all__ = ["BoxLoad", "bearable_pace", "bearable_stretch", "box_load"]
+__all__ = ["BoxLoad", "tolerable_pace", "tolerable_slowdown", "box_load"]
 
 # Share of busy time to aim at, or less where the tail is at its target before.
-AIM_BUSY: t.Final = 0.8
+BUSY_SHARE_LIMIT: t.Final = 0.8
 # A tail over the target stops what may cause it for so long.
-BACKLOG_S: t.Final = 0.6
+BACKLOG_HOLD_S: t.Final = 0.6
 # How much a load may rise while a task runs, and the least that it soon has.
-SOON: t.Final = 0.0
-SOON_AT_LEAST: t.Final = 0.42
+EXPECTED_LOAD_RISE: t.Final = 0.0
+MIN_EXPECTED_LOAD: t.Final = 0.42
 # What a box bears is computed anew after so long, since loads swing.
-FRESH_S: t.Final = 0.25
+MAX_BOX_LOAD_AGE_S: t.Final = 0.25
 
 
 class ServingLoad(t.NamedTuple):
@@ -45,7 +45,7 @@
     compatible_share: float
 
 
-def _fill_shares(box: BoxView) -> dict[str, float]:
+def _best_effort_shares(box: BoxView) -> dict[str, float]:
     """Return for each image that fills a box the share of processors it would take at
     full pace: one that is kept slow waits for the room that there is."""
     shares: dict[str, float] = {}
@@ -55,59 +55,67 @@
     return shares
 
 
-def _load_soon(box: BoxView, name: str, now: float) -> float:
+def _expected_load(box: BoxView, name: str, now: float) -> float:
     load = box.loads.get(name)
-    return MEAN_BUSY if load is None else load.soon(now)
+    return MEAN_BUSY_SHARE if load is None else load.predict_peak(now)
 
 
-def bearable_stretch(
+def tolerable_slowdown(
     box: BoxView, task: Task, interference: Interference, now: float
 ) -> float:
     """Return by how much the work of a serving task may be stretched now."""
     name = task.name
-    if now - box.over.get(name, -BACKLOG_S) < BACKLOG_S:
+    if now - box.over.get(name, -BACKLOG_HOLD_S) < BACKLOG_HOLD_S:
         # A backlog has built up: it drains only when nothing is in its way.
         return 0.0
-    return _aim(task, interference) / _load_soon(box, name, now) - 1.0
+    return _busy_share_limit(task, interference) / _expected_load(box, name, now) - 1.0
 
 
-def _aim(task: Task, interference: Interference) -> float:
-    return min(AIM_BUSY, 1.0 - interference.unloaded_tails.of(task.spec.image))
+def _busy_share_limit(task: Task, interference: Interference) -> float:
+    return min(
+        BUSY_SHARE_LIMIT, 1.0 - interference.unloaded_tails.tail_share(task.spec.image)
+    )
 
 
 def box_load(box: BoxView, interference: Interference, now: float) -> BoxLoad:
     """Return what a box bears, computed anew after a change of the box."""
-    known: tuple[int, float, BoxLoad] | None = box.load
-    if known is not None and known[0] == box.version and now - known[1] < FRESH_S:
-        return known[2]
-    load = _compute(box, interference, now)
+    cached: tuple[int, float, BoxLoad] | None = box.load
+    if (
+        cached is not None
+        and cached[0] == box.version
+        and now - cached[1] < MAX_BOX_LOAD_AGE_S
+    ):
+        return cached[2]
+    load = _compute_box_load(box, interference, now)
     box.load = (box.version, now, load)
     return load
 
 
-def _compute(box: BoxView, interference: Interference, now: float) -> BoxLoad:
-    shares = _fill_shares(box)
-    idle = 0.0
+def _compute_box_load(box: BoxView, interference: Interference, now: float) -> BoxLoad:
+    shares = _best_effort_shares(box)
+    idle_cpu = 0.0
     spares: dict[str, float] = {}
     for name, task in box.serving.items():
-        load = _load_soon(box, name, now)
-        idle += task.spec.cpu * (1.0 - load)
-        at_rest = max(load + SOON, SOON_AT_LEAST)
-        bearable = min(
-            _aim(task, interference) / at_rest - 1.0,
-            bearable_stretch(box, task, interference, now),
+        load = _expected_load(box, name, now)
+        idle_cpu += task.spec.cpu * (1.0 - load)
+        expected_load = max(load + EXPECTED_LOAD_RISE, MIN_EXPECTED_LOAD)
+        tolerable = min(
+            _busy_share_limit(task, interference) / expected_load - 1.0,
+            tolerable_slowdown(box, task, interference, now),
         )
         image = task.spec.image
-        spares[image] = min(spares.get(image, bearable), bearable)
+        spares[image] = min(spares.get(image, tolerable), tolerable)
     serving = tuple(
-        ServingLoad(image, bearable - interference.stretch(image, shares))
-        for image, bearable in spares.items()
+        ServingLoad(image, tolerable - interference.slowdown(image, shares))
+        for image, tolerable in spares.items()
     )
     compatible_share = interference.compatible_share(spares)
-    return BoxLoad(box.cpu_free + idle - box.best_effort_cpu, serving, compatible_share)
+    return BoxLoad(
+        box.cpu_free + idle_cpu - box.best_effort_cpu, serving, compatible_share
+    )
 
 
-def bearable_pace(
+def tolerable_pace(
     step: Step, box: BoxView, load: BoxLoad, interference: Interference
 ) -> float:
     """Return the share of its speed that ``step`` could run at, with what fills."""
@@ -117,7 +125,7 @@
     share = step.cpu / box.entry.cpu
     pace = 1.0
     for image, spare in load.serving:
-        need = share * interference.sensitivity(image, step.image)
-        if need > spare and interference.strong(image, step.image):
-            pace = min(pace, max(0.0, spare) / need)
+        slowdown = share * interference.sensitivity(image, step.image)
+        if slowdown > spare and interference.highly_sensitive(image, step.image):
+            pace = min(pace, max(0.0, spare) / slowdown)
     return pace
--- a/src/granitetrestle/packing.py
+++ b/src/granitetrestle/packing.py
@@ -6,33 +6,33 @@
 
 from .boxes import BoxView
 from .interference import Interference
-from .overload import bearable_pace
 from .overload import box_load
+from .overload import tolerable_pace
 from .workflows import Step
 from .workflows import Task
 
 __all__ = [
-    "FirstBox",
-    "KeepApart",
+    "FirstFitPacker",
+    "InterferenceAwarePacker",
     "Packer",
     "Rank",
     "Ranking",
     "best_box",
-    "better_box",
-    "least_filled",
+    "move_target",
+    "fewest_best_effort",
 ]
 
 # Share of its rated processor time that a task which fills must find unused.
-FILL_NEED: t.Final = 0.9
+MIN_UNUSED_FACTOR: t.Final = 0.9
 # How much unused room, as a share of the box, weighs against pace.
-ROOM_WEIGHT: t.Final = 0.2
+UNUSED_WEIGHT: t.Final = 0.2
 # How much pace a task gives up to leave a box to others that have fewer boxes.
-OPENNESS_WEIGHT: t.Final = 0.3
+COMPATIBLE_SHARE_WEIGHT: t.Final = 0.3
 # A task that would have to run slower than this waits for a better box: one that runs
 # slowly beside serving tasks is soon moved, and disturbs them meanwhile.
-WAIT_PACE: t.Final = 0.6
+MIN_START_PACE: t.Final = 0.6
 # A slowed task moves only to where it will hardly be.
-MOVE_PACE: t.Final = 0.9
+MIN_MOVE_PACE: t.Final = 0.9
 
 
 Rank: t.TypeAlias = tuple[t.Any, ...]
@@ -43,7 +43,7 @@
     only with the box, so that after a task was placed only that box is ranked anew."""
 
     @abc.abstractmethod
-    def of(self, box: BoxView) -> Rank | None:
+    def rank(self, box: BoxView) -> Rank | None:
         """Return the rank of ``box``, the least being best; ``None`` if a task should
         rather wait than go there."""
 
@@ -53,7 +53,7 @@
     best: BoxView | None = None
     best_rank: Rank | None = None
     for box in boxes:
-        rank = ranking.of(box)
+        rank = ranking.rank(box)
         if rank is not None and (best_rank is None or rank < best_rank):
             best, best_rank = box, rank
     return best
@@ -67,15 +67,17 @@
         """Return how boxes rank for ``task`` and others of its step."""
 
 
-def better_box(
+def move_target(
     task: Task, boxes: t.Iterable[BoxView], interference: Interference, now: float
 ) -> BoxView | None:
     """Return a box where a slowed task that fills would disturb nobody."""
     others = (box for box in boxes if box.incarnation != task.box)
-    return best_box(others, _Filling(task.spec, interference, now, MOVE_PACE))
+    return best_box(
+        others, _BestEffortRanking(task.spec, interference, now, MIN_MOVE_PACE)
+    )
 
 
-def least_filled(boxes: t.Iterable[BoxView]) -> BoxView | None:
+def fewest_best_effort(boxes: t.Iterable[BoxView]) -> BoxView | None:
     """Return the box with fewest tasks that fill, for one that has waited too long: it
     is slowed there as much as the serving tasks need."""
     return min(
@@ -85,20 +87,20 @@
     )
 
 
-class FirstBox(Packer):
+class FirstFitPacker(Packer):
     """Baseline: the first box with room."""
 
     def ranking(self, task: Task, interference: Interference, now: float) -> Ranking:
         """Return the order of their names."""
-        return _ByName()
+        return _NameRanking()
 
 
-class _ByName(Ranking):
-    def of(self, box: BoxView) -> Rank:
+class _NameRanking(Ranking):
+    def rank(self, box: BoxView) -> Rank:
         return (box.incarnation,)
 
 
-class KeepApart(Packer):
+class InterferenceAwarePacker(Packer):
     """What fills goes where it disturbs least, by what was learnt of the images;
     serving tasks are placed so that there is such a box for most of what fills.
 
@@ -111,29 +113,31 @@
 
     def ranking(self, task: Task, interference: Interference, now: float) -> Ranking:
         """Return how much ``task`` harms and is harmed."""
-        return _WarmFirst(self._by_harm(task, interference, now))
+        return _WarmBoxFirst(self._ranking_by_kind(task, interference, now))
 
-    def _by_harm(self, task: Task, interference: Interference, now: float) -> Ranking:
+    def _ranking_by_kind(
+        self, task: Task, interference: Interference, now: float
+    ) -> Ranking:
         if task.spec.best_effort:
-            return _Filling(task.spec, interference, now, WAIT_PACE)
+            return _BestEffortRanking(task.spec, interference, now, MIN_START_PACE)
         if task.spec.target_ms and self._grouping:
-            return _Serving(task, interference)
-        return _Short()
+            return _ServingRanking(task, interference)
+        return _ShortTaskRanking()
 
 
-class _WarmFirst(Ranking):
+class _WarmBoxFirst(Ranking):
     """A box that says that it is slow still, as after its start or after its hall was
     given back, is taken when no other has room."""
 
     def __init__(self, ranking: Ranking) -> None:
         self._ranking = ranking
 
-    def of(self, box: BoxView) -> Rank | None:
-        rank = self._ranking.of(box)
+    def rank(self, box: BoxView) -> Rank | None:
+        rank = self._ranking.rank(box)
         return None if rank is None else (box.entry.cold, *rank)
 
 
-class _Serving(Ranking):
+class _ServingRanking(Ranking):
     """Each image that fills disturbs only some of the serving images, so a box that
     serves one image alone is open to most of what fills: a task goes to its own image,
     else to an empty box, else to where it closes the box to least, so that serving tasks
@@ -144,31 +148,33 @@
         self._image = task.spec.image
         self._interference = interference
         # Many boxes serve the same images: what a task closes is worked out once.
-        self._closes: dict[frozenset[str], float] = {}
+        self._losses: dict[frozenset[str], float] = {}
 
-    def of(self, box: BoxView) -> Rank:
+    def rank(self, box: BoxView) -> Rank:
         images = frozenset(other.spec.image for other in box.serving.values())
         if not images:
-            return (1, *_gap(self._task, box))
+            return (1, *_gap_rank(self._task, box))
         if images == {self._image}:
-            return (0, *_gap(self._task, box))
-        return (2, self._closed(images), *_gap(self._task, box))
+            return (0, *_gap_rank(self._task, box))
+        return (2, self._compatible_share_loss(images), *_gap_rank(self._task, box))
 
-    def _closed(self, images: frozenset[str]) -> float:
+    def _compatible_share_loss(self, images: frozenset[str]) -> float:
         """Return how much less open a box that serves ``images`` would become."""
-        closes = self._closes.get(images)
-        if closes is None:
-            closes = self._interference.compatible_share(images)
-            closes -= self._interference.compatible_share(images | {self._image})
-            self._closes[images] = closes
-        return closes
+        loss = self._losses.get(images)
+        if loss is None:
+            loss = self._interference.compatible_share(images)
+            loss -= self._interference.compatible_share(images | {self._image})
+            self._losses[images] = loss
+        return loss
 
 
-def _gap(task: Task, box: BoxView) -> tuple[bool, int, int, str]:
+def _gap_rank(task: Task, box: BoxView) -> tuple[bool, int, int, str]:
     """Tasks of one step share their load, so they are quiet at the same time; else
     the smallest gap is filled first."""
-    strange = not any(_same_step(task, other) for other in box.serving.values())
-    return (strange, box.cpu_free, box.best_effort_cpu, box.incarnation)
+    only_other_steps = not any(
+        _same_step(task, other) for other in box.serving.values()
+    )
+    return (only_other_steps, box.cpu_free, box.best_effort_cpu, box.incarnation)
 
 
 def _same_step(task: Task, other: Task) -> bool:
@@ -177,14 +183,14 @@
     return (task.occurrence, task.step) == (other.occurrence, other.step)
 
 
-class _Short(Ranking):
+class _ShortTaskRanking(Ranking):
     """Leave boxes that are being filled alone, and fill gaps first."""
 
-    def of(self, box: BoxView) -> Rank:
+    def rank(self, box: BoxView) -> Rank:
         return (box.best_effort_cpu > 0, box.cpu_free, box.incarnation)
 
 
-class _Filling(Ranking):
+class _BestEffortRanking(Ranking):
     """Where a task that fills runs fastest, then where most room is left, leaving boxes
     that are open to much to others.
 
@@ -192,20 +198,20 @@
     """
 
     def __init__(
-        self, step: Step, interference: Interference, now: float, least_pace: float
+        self, step: Step, interference: Interference, now: float, min_pace: float
     ) -> None:
         self._step = step
         self._interference = interference
         self._now = now
-        self._least_pace = least_pace
+        self._min_pace = min_pace
 
-    def of(self, box: BoxView) -> Rank | None:
+    def rank(self, box: BoxView) -> Rank | None:
         load = box_load(box, self._interference, self._now)
-        if load.unused < self._step.cpu * FILL_NEED:
+        if load.unused < self._step.cpu * MIN_UNUSED_FACTOR:
             return None
-        pace = bearable_pace(self._step, box, load, self._interference)
-        if pace < self._least_pace:
+        pace = tolerable_pace(self._step, box, load, self._interference)
+        if pace < self._min_pace:
             return None
-        worth = pace + ROOM_WEIGHT * load.unused / box.entry.cpu
-        worth -= OPENNESS_WEIGHT * load.compatible_share
-        return (-worth, box.incarnation)
+        score = pace + UNUSED_WEIGHT * load.unused / box.entry.cpu
+        score -= COMPATIBLE_SHARE_WEIGHT * load.compatible_share
+        return (-score, box.incarnation)
--- a/src/granitetrestle/shardstate.py
+++ b/src/granitetrestle/shardstate.py
@@ -182,18 +182,18 @@
     def retire(self, workflow: Workflow) -> None:
         """Keep of an ended job, of which nothing runs, its state alone."""
         self._records.retired(workflow)
-        self.loads.forget(workflow.submission.job)
+        self.loads.remove(workflow.submission.job)
         workflow.retire()
 
     def drop(self, job: str) -> None:
         """Forget a job for good."""
         del self.workflows[job]
-        self.loads.forget(job)
+        self.loads.remove(job)
         self._records.dropped(job)
 
     def note_interference(self) -> None:
         """Let what was learnt of images be written, for a successor."""
-        self._learnt.update(self.interference.take_rows())
+        self._learnt.update(self.interference.take_changed_rows())
 
     @property
     def has_writes(self) -> bool:
--- a/src/granitetrestle/unloadedtails.py
+++ b/src/granitetrestle/unloadedtails.py
@@ -7,16 +7,16 @@
 __all__ = ["UnloadedTails"]
 
 # Share of busy time at the load that the shortest tails show.
-LEAST_BUSY: t.Final = 0.25
+MIN_BUSY_SHARE: t.Final = 0.25
 # Before the first look; tails of a sixth and of a fifth of the target were seen.
-FIRST_LOWEST: t.Final = 0.22
+INITIAL_LOWEST_TAIL: t.Final = 0.22
 # The lowest tail is followed as this quantile of all tails, since figures are rough,
 # by steps of this size (as a share of the target).
-QUANTILE: t.Final = 0.05
-STEP: t.Final = 0.004
+LOWEST_TAIL_QUANTILE: t.Final = 0.05
+LOWEST_TAIL_STEP: t.Final = 0.004
 # Whatever is learnt stays between these.
-SHORTEST: t.Final = 0.05
-LONGEST: t.Final = 0.5
+MIN_UNLOADED_TAIL: t.Final = 0.05
+MAX_UNLOADED_TAIL: t.Final = 0.5
 
 
 class UnloadedTails:
@@ -30,24 +30,28 @@
         self._learns = learns
         self._lowest: dict[str, float] = {}
 
-    def of(self, image: str) -> float:
+    def tail_share(self, image: str) -> float:
         """Return the tail of an idle task as a share of its target."""
-        idle = self._lowest.get(image, FIRST_LOWEST) * (1.0 - LEAST_BUSY)
-        return max(SHORTEST, min(LONGEST, idle))
+        unloaded = self._lowest.get(image, INITIAL_LOWEST_TAIL) * (1.0 - MIN_BUSY_SHARE)
+        return max(MIN_UNLOADED_TAIL, min(MAX_UNLOADED_TAIL, unloaded))
 
     def busy_share(self, image: str, level: float) -> float:
         """Return for which share of its time a serving task is busy.
 
         :param level: its tail latency as a share of its target.
         """
-        idle = self.of(image)
-        return 0.0 if level <= idle else 1.0 - idle / level
+        unloaded = self.tail_share(image)
+        return 0.0 if level <= unloaded else 1.0 - unloaded / level
 
-    def saw(self, image: str, level: float) -> None:
+    def observe(self, image: str, level: float) -> None:
         """Take up a tail; what disturbs only lengthens it."""
         if not self._learns:
             return
-        lowest = self._lowest.get(image, FIRST_LOWEST)
+        lowest = self._lowest.get(image, INITIAL_LOWEST_TAIL)
         below = level < lowest
-        lowest += -STEP * (1.0 - QUANTILE) if below else STEP * QUANTILE
+        lowest += (
+            -LOWEST_TAIL_STEP * (1.0 - LOWEST_TAIL_QUANTILE)
+            if below
+            else LOWEST_TAIL_STEP * LOWEST_TAIL_QUANTILE
+        )
         self._lowest[image] = lowest
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -168,7 +168,7 @@
     ),
     Mutant(
         "native: nothing protects a task that stays over its target",
-        (("pacing.py", "now - since > OVER_TOO_LONG_S", "False"),),
+        (("pacing.py", "now - since > MAX_OVER_TARGET_S", "False"),),
         "native_parts",
     ),
     Mutant(
