--- a/src/granitetrestle/interference.py
+++ b/src/granitetrestle/interference.py
@@ -1,8 +1,10 @@
-"""Learns which images disturb which. The model: a serving task is busy for a share of
-its time; an image that fills beside it stretches its work in proportion to the
-processor time that it takes. How strongly differs by pair of images and stays; looks
-show that a pair is either weak or strong, hardly anything between. So for each pair
-both are kept, each with its own estimate, and the odds between them."""
+"""Interference model: how much best-effort images slow down serving images.
+
+A serving task is busy for a share of its time. A best-effort image on the same box
+slows its work down in proportion to the processor time that it uses. The factor, the
+sensitivity, is a constant of the pair of images. Measurements show that it is either
+low or high, with hardly any pair in between, so each pair is a mixture of two Gaussian
+estimates, one for either case, with the log odds of the high one."""
 
 import math
 import typing as t
@@ -13,31 +15,36 @@
 
 __all__ = ["Interference", "PairRow"]
 
-# Strength: by how much a pair stretches work when the filler takes the whole box.
-# Means and variances of weak and of strong pairs, and the share of strong ones. They
-# stand for a pair until looks tell.
+# Sensitivity: how much a best-effort image that uses a whole box slows the serving one.
+# Initial means and variances of the low and the high estimate of a pair, and the initial
+# probability of the high one, from which on a pair counts as highly sensitive.
 LOW_SENSITIVITY: t.Final = 0.4
 LOW_SENSITIVITY_VARIANCE: t.Final = 0.09
 HIGH_SENSITIVITY: t.Final = 4.6
 HIGH_SENSITIVITY_VARIANCE: t.Final = 3.0
 INITIAL_HIGH_PROBABILITY: t.Final = 0.5
 MAX_SENSITIVITY: t.Final = 10.0
-# Figures are rough: deviation of a busy share from the fitted model, same looks.
+# Measurements are imprecise: deviation of a busy share from the fitted model.
 BUSY_SHARE_DEVIATION: t.Final = 0.08
-# Looks that follow each other show much of the same figures, so each counts less.
+# Factor on the noise: successive polls show much of the same measurements, so each of
+# them counts less.
 REPEATED_SAMPLE_FACTOR: t.Final = 2.0
-# A pair can always be believed otherwise again within a few looks.
+# Limit that lets a few polls reverse the classification of a pair.
 MAX_LOG_ODDS: t.Final = 6.0
-# No estimate is taken for more certain than this (as a variance).
+# Keeps an estimate from becoming too certain to be corrected.
 MIN_SENSITIVITY_VARIANCE: t.Final = 0.02
-# Below this share of a box nothing is learnt of an image.
+# Below this share of a box, an image's effect is too small to learn from.
 MIN_CPU_SHARE: t.Final = 0.01
-# A task this busy may be busier than can be told from its tail.
+# Above this the tail latency is only a lower bound for the busy share.
 SATURATED_BUSY_SHARE: t.Final = 0.9
 
 
 class PairRow(msgspec.Struct, frozen=True, array_like=True):
-    """What is kept of a pair, so that a successor need not learn it again."""
+    """The estimates of one pair as stored, so that a successor starts with them.
+
+    :param low: mean of the low estimate of the sensitivity.
+    :param high: mean of the high estimate of the sensitivity.
+    """
 
     best_effort: str
     log_odds: float
@@ -52,7 +59,7 @@
 
 
 class _Estimate:
-    """A Gaussian estimate of a strength."""
+    """A Gaussian estimate of a sensitivity."""
 
     __slots__ = ("mean", "variance")
 
@@ -69,7 +76,7 @@
     def update(
         self, slowdown: float, share: float, noise: float, bounds: tuple[float, float]
     ) -> None:
-        """Correct the estimate by what was seen (a Kalman step)."""
+        """Correct the estimate by a measured slowdown (a Kalman filter update)."""
         variance = noise + share * share * self.variance
         gain = share * self.variance / variance
         mean = self.mean + gain * (slowdown - share * self.mean)
@@ -80,14 +87,17 @@
 
 
 class _Pair:
-    """What is believed of one pair of images.
-
-    :ivar chance_strong: how likely it is that the pair is a strong one.
-    :ivar mean: the expected strength, and ``variance`` its variance. They are asked far
-        more often than they change.
+    """The sensitivity of one pair of images, a mixture of two estimates.
+
+    :ivar low: estimate for a pair of low sensitivity.
+    :ivar high: estimate for a pair of high sensitivity.
+    :ivar high_probability: probability that the pair is of high sensitivity.
+    :ivar mean: expected sensitivity; cached, since it is read far more often than it
+        changes.
+    :ivar variance: variance of the sensitivity; cached likewise.
     """
 
-    __slots__ = ("chance_strong", "log_odds", "mean", "strong", "variance", "weak")
+    __slots__ = ("high", "high_probability", "log_odds", "low", "mean", "variance")
 
     def __init__(self) -> None:
         self.log_odds = math.log(
@@ -98,7 +108,7 @@
         self.recompute()
 
     def recompute(self) -> None:
-        """Work out what follows from the odds and the two estimates."""
+        """Recompute probability, mean and variance from the odds and both estimates."""
         probability = self.high_probability = 1.0 / (1.0 + math.exp(-self.log_odds))
         difference = self.high.mean - self.low.mean
         within = (
@@ -112,9 +122,10 @@
     def update(
         self, slowdown: float, share: float, noise: float, measured: bool
     ) -> None:
-        """Learn from the stretch that this pair alone must have caused.
+        """Update the odds and the estimates by the slowdown that this pair caused.
 
-        :param exact: whether the stretch was measured, not only known to be so great.
+        :param measured: whether ``slowdown`` is the value itself and not only a lower
+            bound; the estimates are updated only by values.
         """
         log_ratio = self.high.log_likelihood(slowdown, share, noise)
         log_ratio -= self.low.log_likelihood(slowdown, share, noise)
@@ -122,7 +133,7 @@
         self.log_odds = max(-MAX_LOG_ODDS, min(MAX_LOG_ODDS, odds))
         if measured:
             probability = 1.0 / (1.0 + math.exp(-self.log_odds))
-            # Each estimate learns as far as it is the one that holds.
+            # The likelier estimate is updated, with the noise divided by its probability.
             if probability > 0.5:
                 self.high.update(
                     slowdown, share, noise / probability, (1.5, MAX_SENSITIVITY)
@@ -142,17 +153,17 @@
 
 
 class Interference:
-    """Strengths by pair of images, and how short the tails of idle ones are.
+    """Sensitivities by pair of images, and unloaded tail latencies by serving image.
 
-    :param learns: whether looks change what is believed of pairs.
-    :param learns_tails: whether they change what is believed of idle tails.
+    :param learns: whether polls update the sensitivities.
+    :param learns_tails: whether polls update the unloaded tail latencies.
     """
 
     def __init__(self, learns: bool = True, learns_tails: bool = True) -> None:
         self._learns = learns
         self._pairs: dict[str, dict[str, _Pair]] = {}
         self._changed: set[str] = set()
-        # What is asked for each box and task is kept ready, by (serving, filler).
+        # Caches by (serving, best_effort): both are read for each box and task.
         self._means: dict[tuple[str, str], float] = {}
         self._highly_sensitive: dict[tuple[str, str], bool] = {}
         self._compatible_shares: dict[frozenset[str], float] = {}
@@ -160,24 +171,26 @@
         self.unloaded_tails = UnloadedTails(learns_tails)
 
     def sensitivity(self, serving: str, best_effort: str) -> float:
-        """Return by how much ``best_effort`` stretches ``serving`` with a whole box."""
+        """Return the slowdown of ``serving`` when ``best_effort`` uses a whole box."""
         return self._means.get((serving, best_effort), INITIAL_SENSITIVITY)
 
     def highly_sensitive(self, serving: str, best_effort: str) -> bool:
-        """Say whether ``best_effort`` is known or must be expected to disturb ``serving``."""
+        """Return whether the pair has, or while unknown is taken to have, high
+        sensitivity."""
         return self._highly_sensitive.get(
             (serving, best_effort), INITIALLY_HIGHLY_SENSITIVE
         )
 
     def compatible_share(self, serving: t.Collection[str]) -> float:
-        """Return the share of the images that fill which disturb none of ``serving``."""
+        """Return the share of best-effort images to which none of ``serving`` is highly
+        sensitive."""
         if not serving or not self.best_effort_images:
             return 1.0
         images = frozenset(serving)
         share = self._compatible_shares.get(images)
         if share is None:
             compatible = sum(
-                not any(self.high(image, best_effort) for image in images)
+                not any(self.highly_sensitive(image, best_effort) for image in images)
                 for best_effort in self.best_effort_images
             )
             share = self._compatible_shares[images] = compatible / len(
@@ -186,13 +199,13 @@
         return share
 
     def add_best_effort_image(self, image: str) -> None:
-        """Note that an image fills."""
+        """Record that best-effort tasks run ``image``."""
         if image not in self.best_effort_images:
             self.best_effort_images.add(image)
             self._compatible_shares.clear()
 
     def _get_or_add_pair(self, serving: str, best_effort: str) -> _Pair:
-        """Return a pair of which something may be learnt."""
+        """Return a pair that may be updated; add it first if it is new."""
         known = self._pairs.setdefault(serving, {})
         pair = known.get(best_effort)
         if pair is None:
@@ -201,7 +214,7 @@
         return pair
 
     def _update_cached(self, serving: str, best_effort: str, pair: _Pair) -> None:
-        """Keep ready what is asked of a pair."""
+        """Update the cached values of a pair."""
         key = (serving, best_effort)
         highly_sensitive = pair.high_probability >= INITIAL_HIGH_PROBABILITY
         if (
@@ -215,9 +228,10 @@
     def slowdown(
         self, serving: str, best_effort_shares: t.Mapping[str, float]
     ) -> float:
-        """Return by how much the work of ``serving`` is expected to be stretched.
+        """Return the expected slowdown of ``serving``: 0 for none, 1 for twice the time.
 
-        :param beside: image that fills -> share of the box's processors it takes.
+        :param best_effort_shares: best-effort image -> share of the box's processor
+            time that it uses.
         """
         return sum(
             share * self.sensitivity(serving, best_effort)
@@ -244,10 +258,11 @@
         load_variance: float,
         best_effort_shares: t.Mapping[str, float],
     ) -> None:
-        """Learn from a serving task seen ``busy``.
+        """Update the pairs of ``serving`` by a measured busy share.
 
-        :param load: for which share of its time it would be busy undisturbed.
-        :param beside: as for :meth:`slowdown`.
+        :param busy: share of its time that the serving task is busy.
+        :param load: share of its time that it would be busy without interference.
+        :param best_effort_shares: as for :meth:`slowdown`.
         """
         best_effort_shares = {
             image: x for image, x in best_effort_shares.items() if x >= MIN_CPU_SHARE
@@ -285,7 +300,7 @@
         self._changed.add(serving)
 
     def take_changed_rows(self) -> dict[str, bytes]:
-        """Return what was learnt since the last call, by serving image."""
+        """Return the encoded pairs of each serving image updated since the last call."""
         rows = {
             serving: _encode(
                 [_row(image, p) for image, p in self._pairs[serving].items()]
@@ -296,9 +311,10 @@
         return rows
 
     def restore(self, serving: str, data: bytes) -> None:
-        """Take up what a predecessor learnt of one serving image.
+        """Load the pairs of one serving image that a predecessor stored.
 
-        :raises msgspec.DecodeError: if ``data`` is not what :meth:`take_rows` gave.
+        :raises msgspec.DecodeError: if ``data`` is not what :meth:`take_changed_rows`
+            returned.
         """
         known = self._pairs.setdefault(serving, {})
         for row in _rows.decode(data):
--- a/src/granitetrestle/overload.py
+++ b/src/granitetrestle/overload.py
@@ -1,6 +1,7 @@
-"""At what pace one more task that fills could run on a box without pushing serving
-tasks over their target. What does not depend on the task is computed once for each
-change of the box, since a decision asks this of every box."""
+"""Pace at which a best-effort task can run on a box while serving tasks keep their target.
+
+The part that does not depend on the task is cached until the box changes, since each
+decision needs it of every box."""
 
 import typing as t
 
@@ -12,21 +13,22 @@
 
 __all__ = ["BoxLoad", "tolerable_pace", "tolerable_slowdown", "box_load"]
 
-# Share of busy time to aim at, or less where the tail is at its target before.
+# Maximum share of time that a serving task may be busy; lower for an image whose tail
+# latency is at its target before.
 BUSY_SHARE_LIMIT: t.Final = 0.8
-# A tail over the target stops what may cause it for so long.
+# How long a tail latency over the target leaves no tolerable slowdown.
 BACKLOG_HOLD_S: t.Final = 0.6
-# How much a load may rise while a task runs, and the least that it soon has.
+# Rise of a load expected while a task runs, and the minimum load expected.
 EXPECTED_LOAD_RISE: t.Final = 0.0
 MIN_EXPECTED_LOAD: t.Final = 0.42
-# What a box bears is computed anew after so long, since loads swing.
+# Box loads are recomputed after this time, since loads swing.
 MAX_BOX_LOAD_AGE_S: t.Final = 0.25
 
 
 class ServingLoad(t.NamedTuple):
     """The serving tasks of one image on a box.
 
-    :param spare: by how much more the work of the busiest may be stretched.
+    :param spare: slowdown that the busiest of them tolerates on top of the present one.
     """
 
     image: str
@@ -34,10 +36,11 @@
 
 
 class BoxLoad(t.NamedTuple):
-    """What a box bears now.
+    """What a box can take in addition now.
 
     :param unused: thousandths of a core that one more task may find unused.
-    :param openness: share of the images that fill which disturb nothing here.
+    :param compatible_share: share of the best-effort images to which no serving image
+        of the box is highly sensitive.
     """
 
     unused: float
@@ -46,8 +49,8 @@
 
 
 def _best_effort_shares(box: BoxView) -> dict[str, float]:
-    """Return for each image that fills a box the share of processors it would take at
-    full pace: one that is kept slow waits for the room that there is."""
+    """Return the share of the box's processors that each best-effort image would use at
+    full pace, since a task that is kept slow uses up what becomes free."""
     shares: dict[str, float] = {}
     for task in box.fillers.values():
         step = task.spec
@@ -63,10 +66,10 @@
 def tolerable_slowdown(
     box: BoxView, task: Task, interference: Interference, now: float
 ) -> float:
-    """Return by how much the work of a serving task may be stretched now."""
+    """Return the slowdown at which a serving task still keeps its target now."""
     name = task.name
     if now - box.over.get(name, -BACKLOG_HOLD_S) < BACKLOG_HOLD_S:
-        # A backlog has built up: it drains only when nothing is in its way.
+        # A backlog has built up, and drains only without any slowdown.
         return 0.0
     return _busy_share_limit(task, interference) / _expected_load(box, name, now) - 1.0
 
@@ -78,7 +81,7 @@
 
 
 def box_load(box: BoxView, interference: Interference, now: float) -> BoxLoad:
-    """Return what a box bears, computed anew after a change of the box."""
+    """Return the load of a box; cached until the box changes."""
     cached: tuple[int, float, BoxLoad] | None = box.load
     if (
         cached is not None
@@ -118,9 +121,10 @@
 def tolerable_pace(
     step: Step, box: BoxView, load: BoxLoad, interference: Interference
 ) -> float:
-    """Return the share of its speed that ``step`` could run at, with what fills."""
+    """Return the share of its full speed at which a best-effort task of ``step`` could
+    run beside those on the box."""
     if box.over_since:
-        # Something there does harm, and what it is was not learnt yet.
+        # Something on the box interferes, and the model does not show yet which image.
         return 0.0
     share = step.cpu / box.entry.cpu
     pace = 1.0
--- a/src/granitetrestle/pacing.py
+++ b/src/granitetrestle/pacing.py
@@ -1,5 +1,7 @@
-"""Keeps the tail latency of serving tasks below their target: learns from each look
-which images disturb them, and slows those down by as much as the model asks."""
+"""Paces best-effort tasks so that serving tasks keep their target of tail latency.
+
+Each poll updates the interference model, and the best-effort tasks that the serving ones
+on their box are sensitive to are slowed down as far as the model requires."""
 
 import math
 import typing as t
@@ -14,26 +16,28 @@
 
 __all__ = ["PaceChange", "StepLoads", "observe", "pace_changes", "slowed_tasks"]
 
-# Looks closer than this show the same figures again.
+# Polls closer than this return the same measurements again.
 MIN_SAMPLE_INTERVAL_S: t.Final = 0.3
-# From this share of the target on, a serving task is about to miss it.
+# Shares of the target. Between the two a serving task keeps its state, since
+# measurements are imprecise; from the first on it is about to miss its target.
 OVER_TARGET_THRESHOLD: t.Final = 0.95
 UNDER_TARGET_THRESHOLD: t.Final = 0.75
-# From here on a tail tells of a backlog, not of the load.
+# Share of the target from which on the tail latency reflects a backlog, not the load.
 BACKLOG_THRESHOLD: t.Final = 1.3
-# Over the target for so long, a task is protected from all that fills. The promise to
-# its account is four seconds, of which a backlog takes one or two to drain.
+# After this time over its target, a task is protected from all best-effort tasks. Its
+# client account is promised four seconds, of which a backlog takes one or two to drain.
 MAX_OVER_TARGET_S: t.Final = 1.6
-# How long a tail may stay long after its cause has gone.
+# How long a tail latency may stay high after its cause has gone.
 BACKLOG_DRAIN_S: t.Final = 1.5
-# Figures follow a change of what fills within about this time.
+# Time within which measurements follow a change of the best-effort tasks.
 MEASUREMENT_LAG_S: t.Final = 0.5
-# Less than this of a box can't be told from nothing.
+# Share of a box below which processor use can't be told from none.
 MIN_CPU_SHARE: t.Final = 0.005
-# Paces are rounded to this, and raised by no more than that in one look.
+# Paces are rounded down to a multiple of the first, and raised by no more than the
+# second in one poll.
 PACE_STEP_PERCENT: t.Final = 10
 MAX_PACE_RAISE_PERCENT: t.Final = 30
-# A task that is kept this slow for so long is better off elsewhere.
+# A task that was kept at or below this pace for longer than this is moved.
 SLOW_PACE_PERCENT: t.Final = 30
 MIN_SLOW_BEFORE_MOVE_S: t.Final = 1.2
 
@@ -41,7 +45,7 @@
 class StepLoads:
     """The loads of all serving steps of a shard.
 
-    :param trend: whether a load is followed with its trend.
+    :param trend: whether the slope of a load is tracked too.
     """
 
     def __init__(self, trend: bool = True) -> None:
@@ -63,7 +67,7 @@
 
 
 class PaceChange(t.NamedTuple):
-    """The pace that a task is to have, in percent."""
+    """The new pace of a task, in percent of its full speed."""
 
     task: Task
     percent: int
@@ -76,7 +80,7 @@
 def observe(
     box: BoxView, loads: StepLoads, interference: Interference, now: float
 ) -> None:
-    """Take up the figures of the newest look, and learn from them."""
+    """Update the interference model and the loads by the newest poll of ``box``."""
     elapsed_s = now - box.observed_at
     if elapsed_s < MIN_SAMPLE_INTERVAL_S:
         return
@@ -102,13 +106,13 @@
     interference.unloaded_tails.observe(image, level)
     busy = interference.unloaded_tails.busy_share(image, level)
     load = box.loads[task.name] = loads.for_task(task)
-    # A backlog shows in the tail long after its cause: learn from its rise alone.
+    # A backlog keeps the tail high long after its cause: learn only from its rise.
     draining = now - box.over.get(task.name, -BACKLOG_DRAIN_S) < BACKLOG_DRAIN_S
     if level > OVER_TARGET_THRESHOLD:
         box.over[task.name] = now
         box.over_since.setdefault(task.name, now)
     elif level < UNDER_TARGET_THRESHOLD:
-        # Figures are rough: one that dips below the target does not end the matter.
+        # Measurements are imprecise: one just below the target does not clear it.
         box.over_since.pop(task.name, None)
     if draining and not box.fill_grew:
         return
@@ -129,7 +133,8 @@
 def _update_best_effort_shares(
     box: BoxView, elapsed_s: float, interference: Interference
 ) -> None:
-    """Follow what each image takes, as slowly as the figures do."""
+    """Smooth the processor share of each best-effort image by the time constant with
+    which the measurements of serving tasks follow it."""
     measured: dict[str, float] = {}
     for name, row in box.running.items():
         task = box.fillers.get(name)
@@ -152,12 +157,12 @@
 def pace_changes(
     box: BoxView, interference: Interference, now: float
 ) -> list[PaceChange]:
-    """Return the tasks whose pace is to change."""
+    """Return the best-effort tasks whose pace is to change."""
     tasks = _running_best_effort(box)
     if not tasks:
         return []
     if any(now - since > MAX_OVER_TARGET_S for since in box.over_since.values()):
-        # Whatever was learnt, something here does harm: nothing fills for now.
+        # Whatever the model says, something here interferes: stop all of them for now.
         return [PaceChange(task, 0) for task in tasks if task.pace != 0]
     remaining = _tolerable_slowdowns(box, interference, now)
     costs = {task.name: _slowdown_costs(task, box, interference) for task in tasks}
@@ -184,8 +189,8 @@
 def _tolerable_slowdowns(
     box: BoxView, interference: Interference, now: float
 ) -> dict[str, float]:
-    """Return by how much the work of each serving image may be stretched: what fills
-    stretches all tasks of an image alike, so the one that bears least counts."""
+    """Return the tolerable slowdown of each serving image: best-effort tasks slow all
+    tasks of an image alike, so the task that tolerates least decides."""
     remaining: dict[str, float] = {}
     for task in box.serving.values():
         tolerable = tolerable_slowdown(box, task, interference, now)
@@ -199,10 +204,11 @@
 
 
 class SlowdownCost(t.NamedTuple):
-    """What a task that fills takes of what the tasks of a serving image bear.
+    """How much of the tolerable slowdown of a serving image a best-effort task uses up.
 
-    :param stretch: by how much it stretches their work at full pace.
-    :param strong: whether that matters.
+    :param slowdown: slowdown of the serving tasks when it runs at full pace.
+    :param highly_sensitive: whether the pair is of high sensitivity, so that the pace is
+        limited for its sake.
     """
 
     slowdown: float
@@ -226,9 +232,14 @@
 def _allocate_pace(
     costs: t.Mapping[str, SlowdownCost], remaining: dict[str, float]
 ) -> float:
-    """Return the share of its speed that is left for a task, and take it. What
-    disturbs least comes first, at full pace, rather than all slowly; weak pairs are
-    never slowed: all of them together stretch work by a sixth at most."""
+    """Return the pace that remains for a task, and subtract its costs.
+
+    Tasks that interfere least are served first, at full pace, instead of all being slow.
+    Pairs of low sensitivity are never slowed: together they cause a slowdown of no more
+    than a sixth.
+
+    :param remaining: tolerable slowdown left, by serving image; updated.
+    """
     pace = 1.0
     for name, cost in costs.items():
         if cost.highly_sensitive and remaining[name] < cost.slowdown:
@@ -239,7 +250,8 @@
 
 
 def slowed_tasks(boxes: t.Iterable[BoxView], now: float) -> list[Task]:
-    """Return the tasks that are kept slow and lose nothing by a move."""
+    """Return the tasks that are kept slow and, having checkpoints, lose nothing by a
+    move."""
     return [
         task
         for box in boxes
--- a/src/granitetrestle/packing.py
+++ b/src/granitetrestle/packing.py
@@ -1,5 +1,7 @@
-"""Which box a task goes to. Serving tasks and tasks that fill are kept apart where
-there is room for that, since the ones slow down the others."""
+"""Bin packing: ranks the boxes that have room for a task.
+
+Serving tasks and the best-effort tasks that slow them down are placed on different boxes
+as far as there is room for that."""
 
 import abc
 import typing as t
@@ -22,16 +24,17 @@
     "fewest_best_effort",
 ]
 
-# Share of its rated processor time that a task which fills must find unused.
+# Share of its nominal processor time that a best-effort task must find unused.
 MIN_UNUSED_FACTOR: t.Final = 0.9
-# How much unused room, as a share of the box, weighs against pace.
+# Weight of unused processor time, as a share of the box, relative to pace.
 UNUSED_WEIGHT: t.Final = 0.2
-# How much pace a task gives up to leave a box to others that have fewer boxes.
+# Weight of the compatible share relative to pace: the pace that a task gives up to leave
+# a box to others that have fewer boxes to choose from.
 COMPATIBLE_SHARE_WEIGHT: t.Final = 0.3
-# A task that would have to run slower than this waits for a better box: one that runs
-# slowly beside serving tasks is soon moved, and disturbs them meanwhile.
+# A task that would run at a lower pace waits for a better box: one that runs slowly
+# beside serving tasks is soon moved, and interferes with them until then.
 MIN_START_PACE: t.Final = 0.6
-# A slowed task moves only to where it will hardly be.
+# A slowed task is moved only to a box where it would run at least at this pace.
 MIN_MOVE_PACE: t.Final = 0.9
 
 
@@ -40,16 +43,16 @@
 
 class Ranking(abc.ABC):
     """Ranks boxes that have room for the equal tasks of one step. A box's rank changes
-    only with the box, so that after a task was placed only that box is ranked anew."""
+    only with the box, so after a placement only the box concerned is ranked again."""
 
     @abc.abstractmethod
     def rank(self, box: BoxView) -> Rank | None:
-        """Return the rank of ``box``, the least being best; ``None`` if a task should
-        rather wait than go there."""
+        """Return the rank of ``box``, the lowest being best; ``None`` if a task should
+        wait rather than be placed there."""
 
 
 def best_box(boxes: t.Iterable[BoxView], ranking: Ranking) -> BoxView | None:
-    """Return the box that ranks best, if any may be taken."""
+    """Return the box of the lowest rank, or ``None`` if no box has one."""
     best: BoxView | None = None
     best_rank: Rank | None = None
     for box in boxes:
@@ -64,13 +67,14 @@
 
     @abc.abstractmethod
     def ranking(self, task: Task, interference: Interference, now: float) -> Ranking:
-        """Return how boxes rank for ``task`` and others of its step."""
+        """Return the ranking of boxes for ``task`` and the others of its step."""
 
 
 def move_target(
     task: Task, boxes: t.Iterable[BoxView], interference: Interference, now: float
 ) -> BoxView | None:
-    """Return a box where a slowed task that fills would disturb nobody."""
+    """Return the best other box where a slowed best-effort task would run at
+    ``MIN_MOVE_PACE`` or faster, or ``None``."""
     others = (box for box in boxes if box.incarnation != task.box)
     return best_box(
         others, _BestEffortRanking(task.spec, interference, now, MIN_MOVE_PACE)
@@ -78,8 +82,8 @@
 
 
 def fewest_best_effort(boxes: t.Iterable[BoxView]) -> BoxView | None:
-    """Return the box with fewest tasks that fill, for one that has waited too long: it
-    is slowed there as much as the serving tasks need."""
+    """Return the box with the fewest best-effort tasks, for one that has waited too long;
+    it is paced there as far as the serving tasks require."""
     return min(
         boxes,
         key=lambda box: (len(box.fillers), -box.cpu_free, box.incarnation),
@@ -91,7 +95,7 @@
     """Baseline: the first box with room."""
 
     def ranking(self, task: Task, interference: Interference, now: float) -> Ranking:
-        """Return the order of their names."""
+        """Return a ranking by name."""
         return _NameRanking()
 
 
@@ -101,18 +105,18 @@
 
 
 class InterferenceAwarePacker(Packer):
-    """What fills goes where it disturbs least, by what was learnt of the images;
-    serving tasks are placed so that there is such a box for most of what fills.
+    """Places best-effort tasks where the interference model expects least slowdown, and
+    serving tasks so that most best-effort images have such a box.
 
     :param grouping: whether serving tasks of one image share boxes; else each goes to
-        the fullest box.
+        the fullest box with room.
     """
 
     def __init__(self, grouping: bool = True) -> None:
         self._grouping = grouping
 
     def ranking(self, task: Task, interference: Interference, now: float) -> Ranking:
-        """Return how much ``task`` harms and is harmed."""
+        """Return a ranking by the interference that ``task`` causes and suffers."""
         return _WarmBoxFirst(self._ranking_by_kind(task, interference, now))
 
     def _ranking_by_kind(
@@ -126,8 +130,8 @@
 
 
 class _WarmBoxFirst(Ranking):
-    """A box that says that it is slow still, as after its start or after its hall was
-    given back, is taken when no other has room."""
+    """Uses a cold box only when no other has room: one that reports itself slow, as after
+    its start or after its data hall was restored."""
 
     def __init__(self, ranking: Ranking) -> None:
         self._ranking = ranking
@@ -138,16 +142,19 @@
 
 
 class _ServingRanking(Ranking):
-    """Each image that fills disturbs only some of the serving images, so a box that
-    serves one image alone is open to most of what fills: a task goes to its own image,
-    else to an empty box, else to where it closes the box to least, so that serving tasks
-    are over their targets for less time."""
+    """Ranks boxes for a serving task, by the best-effort images that remain compatible.
+
+    Each best-effort image interferes with only some of the serving images, so a box that
+    serves a single image is compatible with most of them. A task goes to a box that
+    serves its own image, else to one without serving tasks, else to the one whose
+    compatible share falls least, so that serving tasks exceed their targets for less
+    time."""
 
     def __init__(self, task: Task, interference: Interference) -> None:
         self._task = task
         self._image = task.spec.image
         self._interference = interference
-        # Many boxes serve the same images: what a task closes is worked out once.
+        # Many boxes serve the same images, so the loss is cached by their set.
         self._losses: dict[frozenset[str], float] = {}
 
     def rank(self, box: BoxView) -> Rank:
@@ -159,7 +166,8 @@
         return (2, self._compatible_share_loss(images), *_gap_rank(self._task, box))
 
     def _compatible_share_loss(self, images: frozenset[str]) -> float:
-        """Return how much less open a box that serves ``images`` would become."""
+        """Return by how much the compatible share of a box that serves ``images`` would
+        fall if it also served this one."""
         loss = self._losses.get(images)
         if loss is None:
             loss = self._interference.compatible_share(images)
@@ -169,8 +177,9 @@
 
 
 def _gap_rank(task: Task, box: BoxView) -> tuple[bool, int, int, str]:
-    """Tasks of one step share their load, so they are quiet at the same time; else
-    the smallest gap is filled first."""
+    """Return a rank that prefers boxes with a task of the same step, since tasks of one
+    step share their load and are idle at the same time, then the least free box (best
+    fit)."""
     only_other_steps = not any(
         _same_step(task, other) for other in box.serving.values()
     )
@@ -184,17 +193,17 @@
 
 
 class _ShortTaskRanking(Ranking):
-    """Leave boxes that are being filled alone, and fill gaps first."""
+    """Prefers boxes without best-effort tasks, then the least free box (best fit)."""
 
     def rank(self, box: BoxView) -> Rank:
         return (box.best_effort_cpu > 0, box.cpu_free, box.incarnation)
 
 
 class _BestEffortRanking(Ranking):
-    """Where a task that fills runs fastest, then where most room is left, leaving boxes
-    that are open to much to others.
+    """Ranks boxes for a best-effort task by the pace it would have, then by unused
+    processor time; boxes of a high compatible share are left to other images.
 
-    :param least_pace: where it would run slower it does not go.
+    :param min_pace: pace below which a box is not used.
     """
 
     def __init__(
--- a/src/granitetrestle/serviceload.py
+++ b/src/granitetrestle/serviceload.py
@@ -1,50 +1,52 @@
-"""How busy the tasks of a serving step are when nothing disturbs them. They share
-their load, so each look at one of them tells of all; the load swings within seconds,
-so its trend is followed too (a Kalman filter of level and slope)."""
+"""Load of a serving step: the share of time its tasks are busy without interference.
+
+The tasks of a step share their load, so each measurement of one of them applies to all.
+The load swings within seconds, so a Kalman filter tracks its level and its slope."""
 
 import math
 import typing as t
 
 __all__ = ["MEAN_BUSY_SHARE", "StepLoad"]
 
-# Share of busy time when nothing disturbs: least, mean, most.
+# Share of time that a task is busy without interference.
 MIN_BUSY_SHARE: t.Final = 0.15
 MEAN_BUSY_SHARE: t.Final = 0.5
 MAX_BUSY_SHARE: t.Final = 0.8
-# Before the first look: variances of load (as a share) and of its change in a second.
+# Until the first poll: variances of the load (as a share) and of its change per second.
+# That of the load is also the maximum.
 MAX_LEVEL_VARIANCE: t.Final = 0.03
 INITIAL_SLOPE_VARIANCE: t.Final = 0.006
-# How fast the slope wanders (variance a second), and for how long it lasts.
+# Process noise of the slope (variance per second), and its decay time.
 SLOPE_VARIANCE_PER_S: t.Final = 0.015
 SLOPE_DECAY_S: t.Final = 2.0
-# A pace shows after about the first of these, and must do until the next one has: a
-# rising load is met where it will be by then.
+# A new pace takes effect after about the first of these, and has to suffice until the
+# next one has taken effect: a rising load is predicted for that interval.
 MIN_LOOKAHEAD_S: t.Final = 0.3
 MAX_LOOKAHEAD_S: t.Final = 1.0
-# A load comes back to its mean within about this time.
+# Time within which a load reverts to its mean.
 MEAN_REVERSION_S: t.Final = 8.0
-# Variance of one figure; of the same step's tasks in one look, each has its own.
+# Variance of one measurement, independent for each task of a step in one poll.
 MEASUREMENT_VARIANCE: t.Final = 0.006
-# A figure this many deviations off tells of something else than load.
+# A measurement this many deviations off has another cause than load.
 OUTLIER_DEVIATIONS: t.Final = 5.0
 MAX_CORRELATION: t.Final = 0.95
 
 
 class StepLoad:
-    """The load that the tasks of one serving step share. Times are in seconds.
+    """Tracks the load that the tasks of one serving step share. Times are in seconds.
 
-    :param trend: whether its slope is followed too.
+    :param trend: whether the slope is tracked too.
     """
 
     __slots__ = (
-        "_at",
+        "_cached_peak",
         "_covariance",
         "_level",
         "_level_var",
         "_slope",
         "_slope_var",
-        "_soon",
         "_trend",
+        "_updated_at",
     )
 
     def __init__(self, trend: bool = True) -> None:
@@ -58,8 +60,8 @@
         self._cached_peak: tuple[float, float] | None = None
 
     def predict_peak(self, now: float) -> float:
-        """Return the most that it is expected to be between ``MIN_LOOKAHEAD_S`` and
-        ``MAX_LOOKAHEAD_S`` from now. Many boxes ask at the same moment."""
+        """Return the higher of the loads expected ``MIN_LOOKAHEAD_S`` and
+        ``MAX_LOOKAHEAD_S`` from now. Cached, since many boxes need it at one time."""
         if self._cached_peak is None or self._cached_peak[0] != now:
             peak = max(
                 self.predict(now + MIN_LOOKAHEAD_S), self.predict(now + MAX_LOOKAHEAD_S)
@@ -68,11 +70,11 @@
         return self._cached_peak[1]
 
     def predict(self, when: float) -> float:
-        """Return the load expected at ``when``, between the bounds."""
+        """Return the load expected at ``when``, clamped to the minimum and maximum."""
         if self._updated_at is None:
             return MEAN_BUSY_SHARE
         ahead = max(0.0, when - self._updated_at)
-        # The slope dies away: what it adds is bounded.
+        # The slope decays, so its contribution is bounded.
         effective_s = SLOPE_DECAY_S * ahead / (SLOPE_DECAY_S + ahead)
         return max(
             MIN_BUSY_SHARE, min(MAX_BUSY_SHARE, self._level + self._slope * effective_s)
@@ -80,16 +82,16 @@
 
     @property
     def variance(self) -> float:
-        """How unsure the load is."""
+        """Variance of the load."""
         return self._level_var
 
     def observe(
         self, busy: float, slowdown: float, slowdown_variance: float, now: float
     ) -> None:
-        """Take up how busy one task was seen.
+        """Update the load by the measured busy share of one task.
 
-        :param stretch: by how much its work was stretched by what fills.
-        :param doubt: variance of ``slowdown``.
+        :param slowdown: expected slowdown of the task by best-effort tasks.
+        :param slowdown_variance: variance of ``slowdown``.
         """
         self._cached_peak = None
         self._advance(now)
@@ -118,7 +120,7 @@
         self._updated_at = now
         decay = max(0.0, 1.0 - elapsed_s / SLOPE_DECAY_S / 2.0)
         self._level += self._slope * elapsed_s
-        # Without this, a load seen only on disturbed tasks would take up their stretch.
+        # Without this, a load measured only on slowed tasks would include the slowdown.
         self._level += (MEAN_BUSY_SHARE - self._level) * min(
             1.0, elapsed_s / MEAN_REVERSION_S
         )
@@ -132,6 +134,6 @@
         self._slope_var = (
             decay * decay * self._slope_var + elapsed_s * SLOPE_VARIANCE_PER_S
         )
-        # The bound on the variance must not leave more covariance than there can be.
+        # The limit on the variance also limits the possible covariance.
         max_covariance = MAX_CORRELATION * math.sqrt(self._level_var * self._slope_var)
         self._covariance = max(-max_covariance, min(max_covariance, self._covariance))
