--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -26,14 +26,14 @@
 class Orders:
     """A decider that may give few orders in each pass, while urgent work keeps coming."""
 
-    def __init__(self, boxes, most_starts):
+    def __init__(self, boxes, max_starts):
         self.now = 0.0
-        self.most = most_starts
+        self.most = max_starts
         self.jobs = 0
         self.begun = {}
         self.scheduler = Scheduler(TERMS, 0.0)
         self.scheduler.configured(CONFIG)
-        self.scheduler.evacuation.heard(0.0)
+        self.scheduler.evacuation.record_read(0.0)
         entries = {f"b{n}": entry(n) for n in range(boxes)}
         self.scheduler.fleet.listed(entries, 0.0)
         for incarnation in entries:
@@ -51,7 +51,7 @@
     def go_on(self, passes):
         for _ in range(passes):
             self.now += PASS_S
-            self.scheduler.evacuation.heard(self.now)
+            self.scheduler.evacuation.record_read(self.now)
             for _ in range(2 * self.most):
                 self.submit(URGENT)
             wall_ms = int(self.now * 1000)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -4,7 +4,7 @@
 from behave import then
 from behave import when
 
-from granitetrestle.crashloops import LIKELY
+from granitetrestle.crashloops import LIKELY_POINTS
 from granitetrestle.crashloops import blame
 from granitetrestle.crashloops import is_given_up
 from granitetrestle.workflows import Step
@@ -269,7 +269,7 @@
     step = Step(count=2, cpu=500, memory_mb=10)
     workflow = Workflow(Submission("a" * 16, "q", "pool", "s", (step,)), 0.0)
     context.tasks = workflow.step_tasks(0, 0)
-    context.tasks[0].suspicion = LIKELY
+    context.tasks[0].suspicion = LIKELY_POINTS
 
 
 @when("their box is lost {count:d} times")
@@ -347,7 +347,7 @@
 @then("the first is suspected, and the other is not")
 def only_begun(context):
     lost = {note.subject: note.inputs for note in notes(context, "run_lost")}
-    assert lost[f"{context.begun}.0.0.0"]["suspicion"] == LIKELY, lost
+    assert lost[f"{context.begun}.0.0.0"]["suspicion"] == LIKELY_POINTS, lost
     assert lost[f"{context.held}.0.0.0"]["suspicion"] == 0, lost
 
 
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -176,7 +176,7 @@
     world = context.world
     world.advance(1.3)
     scheduler = world.leader.scheduler
-    held = scheduler.evacuation.held
+    held = scheduler.evacuation.report_held_starts
     assert not scheduler.evacuation.up_to_date(world.now)
     context.waiting = world.submit((SMALL,))
     world.advance(0.3)
@@ -295,7 +295,7 @@
     advice = Advice({incarnation: "ticket"}, 60.0)
     question = next(d for d in asked if isinstance(d, AskAdvice))
     scheduler.advised(question, advice, world.now)
-    scheduler.evacuation.ordered([HallDirective("h1", True)], world.now)
+    scheduler.evacuation.apply_directives([HallDirective("h1", True)], world.now)
     context.asked = scheduler.decide(world.now + 2.0, 0)
 
 
@@ -376,7 +376,7 @@
 @when("h1 is evacuated there")
 def evacuated_there(context):
     orders = [HallDirective("h1", True)]
-    context.halls.scheduler.evacuation.ordered(orders, context.halls.now)
+    context.halls.scheduler.evacuation.apply_directives(orders, context.halls.now)
 
 
 @then("it would move to the box in h2")
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -241,8 +241,8 @@
         box = BoxEntry(
             "b", "a", "pool", "h", "r", frozenset(), 4000, 8000, 0, False, None
         )
-        scheduler.evacuation.all_ordered([], (), now)
-        scheduler.evacuation.heard(now)
+        scheduler.evacuation.replace_directives([], (), now)
+        scheduler.evacuation.record_read(now)
         scheduler.fleet.listed({"b": box}, now)
         scheduler.fleet.poll_answered("b", now, now, PollResult(1000, (), ()))
         scheduler.called("r", call, now)
--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -301,8 +301,8 @@
 def waits_for_quiet(context):
     scheduler = context.scheduler = Scheduler(SchedulerParameters(), 50.0)
     scheduler.configured(Config(1, QUEUES, {"pool": True}, 262144))
-    scheduler.evacuation.all_ordered([], (), 50.0)
-    scheduler.evacuation.heard(50.0)
+    scheduler.evacuation.replace_directives([], (), 50.0)
+    scheduler.evacuation.record_read(50.0)
     box = BoxEntry(
         "b", "b:1", "pool", "h", "r", frozenset(), 4000, 8000, 0, False, None
     )
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -37,7 +37,9 @@
 
 
 def wait_for_hall(desk):
-    desk.take(desk.scheduler.evacuation.ordered([HallDirective("h", True)], desk.now))
+    desk.take(
+        desk.scheduler.evacuation.apply_directives([HallDirective("h", True)], desk.now)
+    )
     desk.submit("job", SERVING)
 
 
@@ -57,7 +59,7 @@
 
 
 def wait_for_operators(desk):
-    desk.scheduler.evacuation.heard(desk.now)
+    desk.scheduler.evacuation.record_read(desk.now)
     desk.now += 3.0
     desk.submit("job", SERVING)
 
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -11,7 +11,7 @@
 from granitetrestle.decisions import AcknowledgeEnds
 from granitetrestle.decisions import StartTask
 from granitetrestle.decisions import StopTask
-from granitetrestle.dispatch import ANY_NUMBER
+from granitetrestle.dispatch import UNLIMITED_STARTS
 from granitetrestle.interfaces import BoxEntry
 from granitetrestle.interfaces import CommandAccepted
 from granitetrestle.interfaces import Config
@@ -25,7 +25,7 @@
 from granitetrestle.retryafter import SteadyRetries
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
-from granitetrestle.waitingorder import waiting_tasks
+from granitetrestle.waitingorder import count_waiting_tasks
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 
@@ -105,7 +105,7 @@
         self.counts = dict.fromkeys(incarnations, 0)
         self.ends = []
         self.jobs = {}
-        self.most_starts = ANY_NUMBER
+        self.max_starts = UNLIMITED_STARTS
         self.scheduler.fleet.listed(entries, self.now)
         for incarnation in incarnations:
             self.poll(incarnation)
@@ -172,7 +172,7 @@
         for incarnation in self.running:
             self.poll(incarnation)
         if decide:
-            self.take(self.scheduler.decide(self.now, 0, self.most_starts))
+            self.take(self.scheduler.decide(self.now, 0, self.max_starts))
 
     def in_time(self, times=1.0):
         """How many jobs were completed within so many times their objective."""
@@ -263,7 +263,7 @@
 @then("the figures show tasks that fill waiting, late ones and more that are too late")
 def figures_show(context):
     shard = context.shards[0]
-    waiting = waiting_tasks(shard.scheduler.state.waiting.values(), shard.now)
+    waiting = count_waiting_tasks(shard.scheduler.state.waiting.values(), shard.now)
     assert waiting["short"] == waiting["lasting"] == 0, waiting
     assert 0 < waiting["late"] < waiting["too_late"], waiting
     assert waiting["late"] + waiting["too_late"] < waiting["fills"], waiting
@@ -275,7 +275,7 @@
 )
 def few_orders(context, boxes, most):
     shard = Shard(boxes)
-    shard.most_starts = most
+    shard.max_starts = most
     shard.submit(20)
     for _ in range(120):
         shard.tick(decide=False)
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -223,8 +223,8 @@
     scheduler = context.scheduler = Scheduler(world.parameters, 0.0)
     queue = CONFIG.queues[0]._replace(advised=True)
     scheduler.configured(CONFIG._replace(queues=(queue,)))
-    scheduler.evacuation.all_ordered([], (), 0.0)
-    scheduler.evacuation.heard(0.0)
+    scheduler.evacuation.replace_directives([], (), 0.0)
+    scheduler.evacuation.record_read(0.0)
     scheduler.fleet.listed(world.entries, 0.0)
     for incarnation in world.entries:
         scheduler.fleet.poll_answered(incarnation, 0.0, 0.1, PollResult(100, (), ()))
@@ -253,7 +253,7 @@
                 scheduler.advised(decision, Advice(good, 1.0), now)
             elif isinstance(decision, StartTask):
                 context.starts.append(decision)
-        scheduler.evacuation.heard(now)
+        scheduler.evacuation.record_read(now)
 
 
 @then("it has started there, and no box was asked about twice")
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -184,7 +184,7 @@
     """A step of a job that waits."""
     step = Step(tasks, 1000, 10, estimate_ms=1000, image="f", best_effort=True)
     workflow = Workflow(Submission(job, "q", "pool", "s", (step,)), 100.0)
-    order.submitted(workflow)
+    order.record_submission(workflow)
     for task in workflow.step_tasks(0, 0)[:done]:
         workflow.mark_done(task, 101.0)
     entry = WaitingStep(workflow, 0, 0, 0, latest)
@@ -199,8 +199,8 @@
         entry = waiting(order, f"{number:016x}", tasks)
         if tasks < max(sizes):
             for task in entry.workflow.tasks.values():
-                order.started(task)
-    order.begin(110.0)
+                order.record_start(task)
+    order.start_pass(110.0)
     return order
 
 
@@ -215,7 +215,7 @@
 
 @then("the first goes before the second")
 def first_goes(context):
-    key = context.order.key
+    key = context.order.sort_key
     assert key(context.first, 110.0) < key(context.second, 110.0)
 
 
@@ -224,12 +224,12 @@
     context.order = order_of([4] * (count - count // 8) + [100] * (count // 8))
     context.large = waiting(context.order, "a" * 16, 100)
     context.small = waiting(context.order, "b" * 16, 4)
-    context.order.begin(110.0)
+    context.order.start_pass(110.0)
 
 
 @then("a large job goes before a small one that is as late, and not before one in time")
 def large_goes(context):
-    key = context.order.key
+    key = context.order.sort_key
     assert key(context.large, 110.0) < key(context.small, 110.0)
     assert key(context.large, 205.0) < key(context.small, 205.0)
     assert key(context.large, 205.0) > key(context.small, 110.0)
@@ -237,5 +237,5 @@
 
 @then("a small job goes before a large one")
 def small_goes(context):
-    key = context.order.key
+    key = context.order.sort_key
     assert key(context.small, 110.0) < key(context.large, 110.0)
--- a/src/granitetrestle/crashloops.py
+++ b/src/granitetrestle/crashloops.py
@@ -13,50 +13,50 @@
 from .workflows import Task
 
 __all__ = [
-    "NOBODY",
-    "Blamed",
-    "Losses",
+    "NO_BLAME",
+    "BlamedTasks",
+    "BoxLosses",
     "Trials",
     "blame",
-    "forgive",
-    "has_just_begun",
+    "clear_suspicion",
+    "has_just_started",
     "is_given_up",
     "may_have_crashed",
 ]
 
 # A run that was seen at work for so long did not crash its box by being started.
-PROVED_S: t.Final = 2.0
+MIN_PROVEN_RUNTIME_S: t.Final = 2.0
 # Crashes by a start come within 0.1 s of it; the way of the order and of the news of the
 # lost connection, on a slow link and a busy decider, fit in too.
-JUST_BEGUN_S: t.Final = 0.5
+JUST_STARTED_MAX_AGE_S: t.Final = 0.5
 # Points for a crash: of the task that is suspected most, if its start was answered; of
 # others that have just begun, or may not have begun at all; and of those that began
 # earlier, if nobody was suspected before.
-LIKELY: t.Final = 3
-LESS_LIKELY: t.Final = 2
-POSSIBLE: t.Final = 1
+LIKELY_POINTS: t.Final = 3
+LESS_LIKELY_POINTS: t.Final = 2
+POSSIBLE_POINTS: t.Final = 1
 # Points where boxes are also lost by themselves, in place of the first: two hits by chance
 # are then not rare, and four crashes give a task up.
-LIKELY_BESIDE_OTHERS: t.Final = 2
+LIKELY_POINTS_AMID_LOSSES: t.Final = 2
 # Boxes are lost by themselves where so many fell silent within so long of each other, or
 # one was lost of late on which nothing had just begun.
-WAVE: t.Final = 3
-WAVE_S: t.Final = 0.5
-OF_LATE_S: t.Final = 30.0
+WAVE_MIN_BOXES: t.Final = 3
+WAVE_WINDOW_S: t.Final = 0.5
+RECENT_LOSS_WINDOW_S: t.Final = 30.0
 # Three crashes give a task up, four if no start was answered. Accounts are promised that
 # five do; some may not have been counted, while a store or a decider was away.
-GIVEN_UP: t.Final = 8
+GIVE_UP_THRESHOLD: t.Final = 8
 # Two are enough if at the second nothing else had just begun.
-GIVEN_UP_ALONE: t.Final = 2 * LIKELY
+GIVE_UP_THRESHOLD_ALONE: t.Final = 2 * LIKELY_POINTS
 # A task that has been at work for so long is suspected no more: one that lasts for weeks
 # loses boxes now and then, and would be given up in the end.
-FORGIVEN_S: t.Final = 60.0
+CLEARED_RUNTIME_S: t.Final = 60.0
 # The most of a pool's open boxes that are kept for suspects at a time, as a share: others
 # have just lost a box as well, and wait for room.
-TRIAL_SHARE: t.Final = 0.125
+MAX_TRIAL_BOXES_SHARE: t.Final = 0.125
 
 
-class Blamed(t.NamedTuple):
+class BlamedTasks(t.NamedTuple):
     """What a lost box tells of the tasks that were on it.
 
     :param tasks: each of them may have crashed it.
@@ -67,30 +67,32 @@
     alone: bool
 
 
-NOBODY: t.Final = Blamed((), False)
+NO_BLAME: t.Final = BlamedTasks((), False)
 
 
-def _began(task: Task) -> float:
+def _start_time(task: Task) -> float:
     return task.running_since or task.started_at
 
 
-def _proved(box: BoxView, task: Task) -> bool:
+def _is_proven(box: BoxView, task: Task) -> bool:
     """Say whether a run was seen at work for long enough before its box was lost."""
     began = task.running_since
-    return bool(began) and box.clock_at - began >= PROVED_S
+    return bool(began) and box.clock_at - began >= MIN_PROVEN_RUNTIME_S
 
 
 def may_have_crashed(box: BoxView) -> list[Task]:
     """Return the tasks on a box that was lost of which any may have crashed it."""
-    return [task for task in box.tasks.values() if task.sent and not _proved(box, task)]
+    return [
+        task for task in box.tasks.values() if task.sent and not _is_proven(box, task)
+    ]
 
 
-def has_just_begun(task: Task, lost_at: float) -> bool:
+def has_just_started(task: Task, lost_at: float) -> bool:
     """Say whether a run was young when its box was lost."""
-    return lost_at - _began(task) <= JUST_BEGUN_S
+    return lost_at - _start_time(task) <= JUST_STARTED_MAX_AGE_S
 
 
-class Losses:
+class BoxLosses:
     """Tells whether boxes are lost for other causes than what starts there."""
 
     def __init__(self) -> None:
@@ -98,50 +100,53 @@
         self._silent: collections.deque[float] = collections.deque()
         self._unexplained_at = -math.inf
 
-    def silent(self, now: float) -> None:
+    def record_silence(self, now: float) -> None:
         """Note that a box fell silent."""
         self._silent.append(now)
-        while self._silent[0] < now - OF_LATE_S:
+        while self._silent[0] < now - RECENT_LOSS_WINDOW_S:
             self._silent.popleft()
 
-    def unexplained(self, now: float) -> None:
+    def record_unexplained(self, now: float) -> None:
         """Note that a box was lost on which nothing had just begun."""
         self._unexplained_at = now
 
-    def by_themselves(self, silent_at: float | None, now: float) -> bool:
+    def may_be_unrelated(self, silent_at: float | None, now: float) -> bool:
         """Say whether a box that is lost now may have been lost by itself.
 
         :param silent_at: when it fell silent, if it did.
         """
-        if now - self._unexplained_at <= OF_LATE_S:
+        if now - self._unexplained_at <= RECENT_LOSS_WINDOW_S:
             return True
         at = now if silent_at is None else silent_at
-        return sum(abs(other - at) <= WAVE_S for other in self._silent) >= WAVE
+        return (
+            sum(abs(other - at) <= WAVE_WINDOW_S for other in self._silent)
+            >= WAVE_MIN_BOXES
+        )
 
 
 def blame(
-    able: t.Sequence[Task], lost_at: float = math.inf, by_itself: bool = False
-) -> Blamed:
+    candidates: t.Sequence[Task], lost_at: float = math.inf, by_itself: bool = False
+) -> BlamedTasks:
     """Count a box that was lost against the tasks that may have crashed it.
 
     :param lost_at: when it was lost, or last answered before.
     :param by_itself: whether it may have been lost for another cause.
     """
-    likely = [task for task in able if has_just_begun(task, lost_at)]
-    likely = likely or list(able)
-    most = max((task.suspicion for task in likely), default=0)
-    tasks = tuple(task for task in likely if task.suspicion == most)
-    for task in able:
+    likely = [task for task in candidates if has_just_started(task, lost_at)]
+    likely = likely or list(candidates)
+    max_suspicion = max((task.suspicion for task in likely), default=0)
+    tasks = tuple(task for task in likely if task.suspicion == max_suspicion)
+    for task in candidates:
         if task in tasks and task.running_since:
-            task.suspicion += LIKELY_BESIDE_OTHERS if by_itself else LIKELY
+            task.suspicion += LIKELY_POINTS_AMID_LOSSES if by_itself else LIKELY_POINTS
         elif task in likely:
             # Two that crash boxes may start together each time, on the only box there is.
-            task.suspicion += LESS_LIKELY
-        elif not most:
+            task.suspicion += LESS_LIKELY_POINTS
+        elif not max_suspicion:
             # It may take a while to crash a box.
-            task.suspicion += POSSIBLE
+            task.suspicion += POSSIBLE_POINTS
     alone = len(likely) == 1 and bool(likely[0].running_since) and not by_itself
-    return Blamed(tasks, alone)
+    return BlamedTasks(tasks, alone)
 
 
 def is_given_up(task: Task, alone: bool) -> bool:
@@ -149,12 +154,12 @@
 
     :param alone: whether it alone can have been the cause.
     """
-    return task.suspicion >= (GIVEN_UP_ALONE if alone else GIVEN_UP)
+    return task.suspicion >= (GIVE_UP_THRESHOLD_ALONE if alone else GIVE_UP_THRESHOLD)
 
 
-def forgive(task: Task, now: float) -> None:
+def clear_suspicion(task: Task, now: float) -> None:
     """Suspect a task no more whose run was at work for long."""
-    if task.running_since and now - task.running_since >= FORGIVEN_S:
+    if task.running_since and now - task.running_since >= CLEARED_RUNTIME_S:
         task.suspicion = 0
 
 
@@ -164,37 +169,37 @@
     def __init__(self) -> None:
         self._now = 0.0
         # Box that is kept for a suspect -> until when.
-        self._kept: dict[str, float] = {}
-        self._most = 0
-        self._just_begun: collections.Counter[str] = collections.Counter()
+        self._reserved: dict[str, float] = {}
+        self._max_reserved = 0
+        self._just_started: collections.Counter[str] = collections.Counter()
 
-    def begin(self, boxes: t.Collection[BoxView], now: float) -> None:
+    def start_pass(self, boxes: t.Collection[BoxView], now: float) -> None:
         """Begin a search.
 
         :param boxes: all that are open for work.
         """
         self._now = now
-        self._kept = {
+        self._reserved = {
             incarnation: until
-            for incarnation, until in self._kept.items()
+            for incarnation, until in self._reserved.items()
             if until > now
         }
-        self._most = math.ceil(TRIAL_SHARE * len(boxes))
-        self._just_begun.clear()
+        self._max_reserved = math.ceil(MAX_TRIAL_BOXES_SHARE * len(boxes))
+        self._just_started.clear()
         for box in boxes:
             for task in box.tasks.values():
-                if now - _began(task) <= JUST_BEGUN_S:
-                    self._just_begun[box.incarnation] += 1
+                if now - _start_time(task) <= JUST_STARTED_MAX_AGE_S:
+                    self._just_started[box.incarnation] += 1
 
     def rank(self, box: BoxView) -> tuple[int, int, str]:
         """Return how well a box suits a suspect, the least being best: where a crash
         would tell most, and take least along."""
-        return (self._just_begun[box.incarnation], len(box.tasks), box.incarnation)
+        return (self._just_started[box.incarnation], len(box.tasks), box.incarnation)
 
-    def started(self, box: BoxView) -> None:
+    def record_start(self, box: BoxView) -> None:
         """Keep a box for the suspect that goes there, for as long as it takes to tell,
         unless too many are kept."""
-        self._just_begun[box.incarnation] += 1
-        if len(self._kept) < self._most:
-            self._kept[box.incarnation] = self._now + JUST_BEGUN_S
-            box.closed_until = max(box.closed_until, self._kept[box.incarnation])
+        self._just_started[box.incarnation] += 1
+        if len(self._reserved) < self._max_reserved:
+            self._reserved[box.incarnation] = self._now + JUST_STARTED_MAX_AGE_S
+            box.closed_until = max(box.closed_until, self._reserved[box.incarnation])
--- a/src/granitetrestle/dispatch.py
+++ b/src/granitetrestle/dispatch.py
@@ -43,38 +43,38 @@
 from .workflows import Task
 from .workflows import Workflow
 
-__all__ = ["ANY_NUMBER", "Dispatcher"]
+__all__ = ["UNLIMITED_STARTS", "Dispatcher"]
 
 # More tasks than ever wait.
-ANY_NUMBER: t.Final = 1_000_000_000
+UNLIMITED_STARTS: t.Final = 1_000_000_000
 
 # Asking takes a time for each box named, and calls wait for each other: the roomiest
 # boxes are named, and a step without an answer waits this long to ask again.
-ADVICE_BOXES: t.Final = 24
-ADVICE_AGAIN_S: t.Final = 1.5
+MAX_ADVICE_BOXES: t.Final = 24
+ADVICE_RETRY_INTERVAL_S: t.Final = 1.5
 # Share of an advice's validity in which starts are made; the rest is for their way.
-ADVICE_USED: t.Final = 0.8
+ADVICE_VALIDITY_FACTOR: t.Final = 0.8
 # Figures that decide where what fills may go come twice a second from each box.
-FILL_EVERY_S: t.Final = 0.08
+BEST_EFFORT_INTERVAL_S: t.Final = 0.08
 # A job that fills is never left with nothing running for longer than this: its account
 # is promised that work goes on while there is room, and it may use quiet seconds.
-STARVED_S: t.Final = 1.5
+STARVATION_THRESHOLD_S: t.Final = 1.5
 # A step that has waited for so long, or has not started a task for so long, gets one start
 # ahead of all others: what has room begins within three seconds, looks and orders included.
-AGED_S: t.Final = 2.0
+AGING_THRESHOLD_S: t.Final = 2.0
 # Such starts take at most this part of a pass, and at least one; so many steps are tried,
 # since each search looks at all boxes.
-AGED_PART: t.Final = 0.25
-AGED_TRIES: t.Final = 4
+MAX_AGED_STARTS_SHARE: t.Final = 0.25
+MAX_AGED_TRIES: t.Final = 4
 # One task at a time is moved, so that the next choice sees where it went.
-MOVE_EVERY_S: t.Final = 0.05
+MOVE_INTERVAL_S: t.Final = 0.05
 # When no better box was found for a slowed task, boxes are sought for tasks of its image
 # that need as much again after this, when the figures of many have changed; and at most
 # for so many in a pass. Each search looks at all boxes.
-MOVE_AGAIN_S: t.Final = 0.3
-MOVES_TRIED: t.Final = 8
+MOVE_RETRY_INTERVAL_S: t.Final = 0.3
+MAX_MOVE_SEARCHES: t.Final = 8
 
-Kind: t.TypeAlias = tuple[t.Any, ...]
+PlacementKey: t.TypeAlias = tuple[t.Any, ...]
 
 
 class Dispatcher:
@@ -92,26 +92,26 @@
         self._search: BoxSearch = IndexedSearch() if indexed else PlainSearch()
         self._order = _waiting_order(state)
         self._trials = Trials()
-        self._moved_at = now
+        self._move_checked_at = now
         # Image -> the least processor time for which no better box was found, and when.
-        self._no_better: dict[str, tuple[int, float]] = {}
-        self._filled_at = 0.0
+        self._failed_searches: dict[str, tuple[int, float]] = {}
+        self._best_effort_placed_at = 0.0
         # Whether the last pass ended before it had come to all that waits.
         self._cut_short = False
         # Kinds of task that found no box in the pass under way.
-        self._no_box: set[Kind] = set()
+        self._unplaceable: set[PlacementKey] = set()
 
     @property
     def headroom(self) -> Headroom:
         """Which boxes lasting work leaves alone."""
         return self._headroom
 
-    def submitted(self, workflow: Workflow) -> None:
+    def record_submission(self, workflow: Workflow) -> None:
         """Take note of a job that came, or that a predecessor left."""
-        self._order.submitted(workflow)
+        self._order.record_submission(workflow)
 
     def place(
-        self, now: float, wall_ms: int, most_starts: int = ANY_NUMBER
+        self, now: float, wall_ms: int, max_starts: int = UNLIMITED_STARTS
     ) -> list[Decision]:
         """Start what has a box.
 
@@ -122,24 +122,26 @@
         if not waiting:
             return []
         self._state.index.refresh(now)
-        if self._headroom.due(now):
+        if self._headroom.needs_update(now):
             pools = self._state.index.pools.items()
             boxes = {service: list(pool.boxes.values()) for service, pool in pools}
-            self._headroom.update(boxes, self._short_waiting(), now)
-        fill = now - self._filled_at >= FILL_EVERY_S
-        if fill:
-            self._filled_at = now
-        self._no_box.clear()
-        self._order.begin(now)
-        order = sorted(waiting.items(), key=lambda item: self._order.key(item[1], now))
-        effects = self._place_aged(now, wall_ms, most_starts)
+            self._headroom.update(boxes, self._waiting_short_cpu(), now)
+        best_effort_due = now - self._best_effort_placed_at >= BEST_EFFORT_INTERVAL_S
+        if best_effort_due:
+            self._best_effort_placed_at = now
+        self._unplaceable.clear()
+        self._order.start_pass(now)
+        order = sorted(
+            waiting.items(), key=lambda item: self._order.sort_key(item[1], now)
+        )
+        effects = self._place_aged(now, wall_ms, max_starts)
         self._cut_short = False
         for key, entry in order:
-            left = most_starts - len(effects)
+            left = max_starts - len(effects)
             if left <= 0:
                 self._cut_short = True
                 break
-            if not fill and entry.spec.best_effort:
+            if not best_effort_due and entry.spec.best_effort:
                 continue
             # The last task of a step may have been listed as done while it waited.
             due = entry.workflow.due_at_ms(entry.occurrence) <= wall_ms
@@ -151,22 +153,22 @@
                 del waiting[key]
         return effects
 
-    def _place_aged(self, now: float, wall_ms: int, most_starts: int) -> list[Decision]:
+    def _place_aged(self, now: float, wall_ms: int, max_starts: int) -> list[Decision]:
         """Start one task each of the steps that have waited longest, whatever comes before
         them: where orders are what is short, work in time would keep them waiting for ever."""
         aged = (
             entry
             for entry in self._state.waiting.values()
             if entry.tasks
-            and now - entry.waits_since > AGED_S
+            and now - entry.waits_since > AGING_THRESHOLD_S
             and entry.workflow.due_at_ms(entry.occurrence) <= wall_ms
         )
         effects: list[Decision] = []
         # Where a pass comes to all, room is what is short, and the order shares it out.
-        tries = AGED_TRIES if self._cut_short else 1
-        most = max(1, int(AGED_PART * most_starts))
-        for entry in heapq.nsmallest(tries, aged, key=_aged_rank):
-            if len(effects) >= most:
+        tries = MAX_AGED_TRIES if self._cut_short else 1
+        limit = max(1, int(MAX_AGED_STARTS_SHARE * max_starts))
+        for entry in heapq.nsmallest(tries, aged, key=_aging_rank):
+            if len(effects) >= limit:
                 break
             # One that has room nowhere keeps no other from its turn.
             entry.tried_at = now
@@ -175,7 +177,7 @@
                 effects += self._place_step(entry, pool, now, 1)
         return effects
 
-    def _short_waiting(self) -> dict[str, int]:
+    def _waiting_short_cpu(self) -> dict[str, int]:
         """Return service -> thousandths of a core that waiting short work reserves."""
         short: dict[str, int] = {}
         for entry in self._state.waiting.values():
@@ -187,15 +189,15 @@
         return short
 
     def _place_step(
-        self, entry: WaitingStep, pool: Pool, now: float, most: int
+        self, entry: WaitingStep, pool: Pool, now: float, limit: int
     ) -> list[Decision]:
         step = entry.spec
         entry.reached_at = now
-        if self._advised(entry) and now > entry.advice_until:
+        if self._needs_advice(entry) and now > entry.advice_until:
             return self._ask_advice(entry, pool, now)
         if step.gang:
             return self._place_gang(entry, step, pool, now)
-        kind = (
+        placement_key = (
             step.image,
             step.cpu,
             step.memory_mb,
@@ -208,17 +210,17 @@
         if entry.suspects:
             suspects = [task for task in tasks if task.suspicion]
             entry.suspects = bool(suspects)
-            effects += self._place_suspects(entry, suspects[:most], pool, now)
+            effects += self._place_suspects(entry, suspects[:limit], pool, now)
             tasks = [task for task in tasks if not task.suspicion]
         if not tasks:
             return effects
-        search = self._begin(entry, pool, now)
-        for task in tasks[: most - len(effects)]:
+        search = self._begin_search(entry, pool, now)
+        for task in tasks[: limit - len(effects)]:
             box = None
-            if kind not in self._no_box:
+            if placement_key not in self._unplaceable:
                 box = search.best()
-            if box is None and self._starved(entry, step, now):
-                box = fewest_best_effort(self._ticketed(entry, search.able()))
+            if box is None and self._is_starved(entry, step, now):
+                box = fewest_best_effort(self._with_ticket(entry, search.able()))
                 if box is not None:
                     search.taken(box)
             if (
@@ -227,7 +229,7 @@
                 and pool.quarantined
                 and not search.able()
             ):
-                box = self._trial_box(entry, task, pool, now)
+                box = self._choose_trial_box(entry, task, pool, now)
                 if box is not None:
                     inputs = {
                         "task": task.name,
@@ -238,13 +240,13 @@
                 # What lasts must be looked at each time: how long there has been room
                 # for it counts.
                 if not step.per_box and not step.long_running:
-                    self._no_box.add(kind)
+                    self._unplaceable.add(placement_key)
                 break
             effects.append(self._start_waiting(entry, task, box, now))
         self._state.index.refresh(now)
         return effects
 
-    def _trial_box(
+    def _choose_trial_box(
         self, entry: WaitingStep, task: Task, pool: Pool, now: float
     ) -> BoxView | None:
         """Return a box that is put aside, to be tried with a task that lasts and has
@@ -252,7 +254,7 @@
         lasts would wait for the end of the pause."""
         able = [
             box
-            for box in self._ticketed(entry, pool.quarantined.values())
+            for box in self._with_ticket(entry, pool.quarantined.values())
             if box.takes_trial(now) and suits(entry.spec, task, box)
         ]
         ranking = self.packer.ranking(task, self._state.interference, now)
@@ -276,59 +278,63 @@
             return []
         effects: list[Decision] = []
         trials = self._trials
-        trials.begin(pool.boxes.values(), now)
+        trials.start_pass(pool.boxes.values(), now)
         ranking = self.packer.ranking(suspects[0], self._state.interference, now)
         for task in suspects:
-            search = self._begin(entry, pool, now)
-            boxes = self._narrowed(entry, search.able(), now)
+            search = self._begin_search(entry, pool, now)
+            boxes = self._allowed_boxes(entry, search.able(), now)
             boxes = preferred(entry.spec, boxes)
             bearable = [box for box in boxes if ranking.rank(box) is not None]
             if not bearable:
                 break
             box = min(bearable, key=trials.rank)
-            trials.started(box)
+            trials.record_start(box)
             effects.append(self._start_waiting(entry, task, box, now))
             self._state.index.refresh(now)
         return effects
 
-    def _begin(self, entry: WaitingStep, pool: Pool, now: float) -> StepSearch:
+    def _begin_search(self, entry: WaitingStep, pool: Pool, now: float) -> StepSearch:
         task = next(iter(entry.tasks.values()))
 
         def narrow(boxes: list[BoxView]) -> list[BoxView]:
-            return self._narrowed(entry, boxes, now)
+            return self._allowed_boxes(entry, boxes, now)
 
         ranking = self.packer.ranking(task, self._state.interference, now)
         return self._search.begin(entry, pool, ranking, narrow)
 
-    def _narrowed(
+    def _allowed_boxes(
         self, entry: WaitingStep, boxes: t.Collection[BoxView], now: float
     ) -> list[BoxView]:
         """Leave out boxes that have room and may not be taken."""
-        boxes = self._ticketed(entry, boxes)
+        boxes = self._with_ticket(entry, boxes)
         if entry.spec.long_running:
-            boxes = self._headroom.open_to(entry, boxes, now)
+            boxes = self._headroom.allowed_boxes(entry, boxes, now)
         return boxes
 
-    def _advised(self, entry: WaitingStep) -> bool:
+    def _needs_advice(self, entry: WaitingStep) -> bool:
         queue = self._state.queues.get(entry.workflow.submission.queue)
         return queue is not None and queue.advised
 
-    def _ticketed(
+    def _with_ticket(
         self, entry: WaitingStep, boxes: t.Collection[BoxView]
     ) -> list[BoxView]:
         """Return those of ``boxes`` that may run a step, where that needs advice."""
-        if not self._advised(entry):
+        if not self._needs_advice(entry):
             return list(boxes)
         return [box for box in boxes if box.incarnation in entry.tickets]
 
-    def _starved(self, entry: WaitingStep, step: Step, now: float) -> bool:
+    def _is_starved(self, entry: WaitingStep, step: Step, now: float) -> bool:
         """Say whether a job that fills has had nothing running for too long."""
-        if not step.best_effort or entry.since is None or now - entry.since < STARVED_S:
+        if (
+            not step.best_effort
+            or entry.since is None
+            or now - entry.since < STARVATION_THRESHOLD_S
+        ):
             return False
         return not any(task.placed for task in entry.workflow.tasks.values())
 
     def _ask_advice(self, entry: WaitingStep, pool: Pool, now: float) -> list[Decision]:
-        if now - entry.asked_at < ADVICE_AGAIN_S:
+        if now - entry.asked_at < ADVICE_RETRY_INTERVAL_S:
             return []
         entry.asked_at = now
         candidates = list(pool.boxes.values())
@@ -340,12 +346,12 @@
         if not boxes:
             entry.unfit.clear()
             boxes = candidates
-        roomy = sorted(boxes, key=lambda box: (-box.cpu_free, box.incarnation))
-        incarnations = tuple(box.incarnation for box in roomy[:ADVICE_BOXES])
+        by_free_cpu = sorted(boxes, key=lambda box: (-box.cpu_free, box.incarnation))
+        incarnations = tuple(box.incarnation for box in by_free_cpu[:MAX_ADVICE_BOXES])
         job = entry.workflow.submission.job
         return [AskAdvice(job, entry.occurrence, entry.step, incarnations)]
 
-    def advised(
+    def apply_advice(
         self, asked: AskAdvice, advice: Advice | AdviceUnavailable, now: float
     ) -> list[Decision]:
         """Apply what came of asking which boxes may run a step."""
@@ -358,7 +364,7 @@
             entry.unfit.update(asked.incarnations)
             entry.unfit.difference_update(advice.tickets)
             # A start takes a while to arrive.
-            valid_s = advice.valid_s * ADVICE_USED if advice.tickets else 0.0
+            valid_s = advice.valid_s * ADVICE_VALIDITY_FACTOR if advice.tickets else 0.0
             entry.advice_until = now + valid_s
         inputs = {"asked": len(asked.incarnations), "good": len(advice.tickets)}
         return [LogEvent("advised", name, inputs)]
@@ -370,7 +376,7 @@
         members = entry.workflow.step_tasks(entry.occurrence, entry.step)
         if any(task.state != PENDING for task in members):
             return []
-        search = self._begin(entry, pool, now)
+        search = self._begin_search(entry, pool, now)
         chosen: list[tuple[Task, BoxView]] = []
         for task in members:
             box = search.best()
@@ -406,7 +412,7 @@
         task.set_pace(FULL_PACE, now)
         box.place(task)
         task.workflow.begun = True
-        self._order.started(task)
+        self._order.record_start(task)
         self._state.changed(task)
         spec = task.workflow.submission.spec
         return StartTask(
@@ -421,9 +427,11 @@
 
     def move_slowed(self, now: float) -> list[Decision]:
         """Move a task that is kept slow to where it disturbs nobody."""
-        if now - self._moved_at < MOVE_EVERY_S or not self._state.on(Mechanism.MOVES):
+        if now - self._move_checked_at < MOVE_INTERVAL_S or not self._state.on(
+            Mechanism.MOVES
+        ):
             return []
-        self._moved_at = now
+        self._move_checked_at = now
         self._state.index.refresh(now)
         boxes = (
             box
@@ -432,7 +440,7 @@
         )
         tries = 0
         for task in slowed_tasks(boxes, now):
-            if not self._may_find(task, now):
+            if not self._should_search(task, now):
                 continue
             tries += 1
             box = self._better_box(task, now)
@@ -442,15 +450,15 @@
                     LogEvent("moved_for_targets", task.name, inputs),
                     *self._progress.stop(task, now),
                 ]
-            self._no_better[task.spec.image] = (task.spec.cpu, now)
-            if tries >= MOVES_TRIED:
+            self._failed_searches[task.spec.image] = (task.spec.cpu, now)
+            if tries >= MAX_MOVE_SEARCHES:
                 break
         return []
 
-    def _may_find(self, task: Task, now: float) -> bool:
+    def _should_search(self, task: Task, now: float) -> bool:
         """Say whether a better box may be found for a slowed task."""
-        least, at = self._no_better.get(task.spec.image, (0, -1e9))
-        return now - at >= MOVE_AGAIN_S or task.spec.cpu < least
+        least, at = self._failed_searches.get(task.spec.image, (0, -1e9))
+        return now - at >= MOVE_RETRY_INTERVAL_S or task.spec.cpu < least
 
     def _better_box(self, task: Task, now: float) -> BoxView | None:
         pool = self._state.index.pool(self._state.service_of(task.workflow))
@@ -458,7 +466,7 @@
         return move_target(task, able, self._state.interference, now)
 
 
-def _aged_rank(entry: WaitingStep) -> tuple[float, int]:
+def _aging_rank(entry: WaitingStep) -> tuple[float, int]:
     return (max(entry.waits_since, entry.tried_at), entry.priority)
 
 
--- a/src/granitetrestle/feeds.py
+++ b/src/granitetrestle/feeds.py
@@ -145,13 +145,13 @@
         evacuation, now = self._scheduler.evacuation, time.monotonic()
         if isinstance(outcome, Newest):
             self._unreadable = unread
-            self._apply(evacuation.all_ordered(halls, unread, now))
+            self._apply(evacuation.replace_directives(halls, unread, now))
         else:
             self._unreadable -= {order.hall for order in halls}
             self._unreadable |= unread
-            self._apply(evacuation.ordered(halls, now))
+            self._apply(evacuation.apply_directives(halls, now))
         self._heard_at = steadyclock.now()
-        evacuation.heard(now)
+        evacuation.record_read(now)
 
     def _decode(
         self, records: t.Iterable[Record]
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -6,11 +6,11 @@
 from .boxes import BoxView
 from .boxnotes import contradictions
 from .boxnotes import run_lost
-from .crashloops import NOBODY
-from .crashloops import Blamed
-from .crashloops import Losses
+from .crashloops import NO_BLAME
+from .crashloops import BlamedTasks
+from .crashloops import BoxLosses
 from .crashloops import blame
-from .crashloops import has_just_begun
+from .crashloops import has_just_started
 from .crashloops import is_given_up
 from .crashloops import may_have_crashed
 from .decisions import AcknowledgeEnds
@@ -80,7 +80,7 @@
         self._withdrawn_ends = now + parameters.lease_bound_s
         # Lives that are listed still and have ended for certain.
         self._ended: set[str] = set()
-        self._losses = Losses()
+        self._losses = BoxLosses()
 
     @property
     def inherited_ends(self) -> float:
@@ -209,7 +209,7 @@
 
     def _runs_lost(self, box: BoxView, now: float) -> list[Decision]:
         """Take all tasks off a box that was lost, and give up those that crash boxes."""
-        blamed = NOBODY
+        blamed = NO_BLAME
         if not box.entry.draining and not box.left_answering:
             # A box that crashes lists no ends: without this count a task that crashes
             # every box that starts it would be started for ever.
@@ -222,12 +222,12 @@
             effects += self._progress.lost(task, given_up, now)
         return effects
 
-    def _blame(self, box: BoxView, now: float) -> Blamed:
+    def _blame(self, box: BoxView, now: float) -> BlamedTasks:
         """Count a box that was lost against what may have crashed it."""
         able, lost_at = may_have_crashed(box), box.lost_at or box.clock_at
-        if not any(has_just_begun(task, lost_at) for task in able):
-            self._losses.unexplained(now)
-        by_itself = self._losses.by_themselves(box.silent_since, now)
+        if not any(has_just_started(task, lost_at) for task in able):
+            self._losses.record_unexplained(now)
+        by_itself = self._losses.may_be_unrelated(box.silent_since, now)
         return blame(able, lost_at, by_itself)
 
     def resume_leases(self, again: ResumeLeases) -> None:
@@ -307,7 +307,7 @@
         if box.silent_since is not None:
             return []
         box.silent_since = now
-        self._losses.silent(now)
+        self._losses.record_silence(now)
         inputs = {"reason": reason, "tasks": len(box.tasks)}
         return [LogEvent("box_silent", box.incarnation, inputs)]
 
--- a/src/granitetrestle/longrunningwaits.py
+++ b/src/granitetrestle/longrunningwaits.py
@@ -17,16 +17,16 @@
 __all__ = ["LongRunningWaits", "WaitCause"]
 
 # Waits that are shorter are usual: a look, a write and an order take up to one second.
-TOLD_AFTER_S: t.Final = 3.0
+REPORT_THRESHOLD_S: t.Final = 3.0
 # How often waits are told, and how many at a time, the longest first.
-TELL_EVERY_S: t.Final = 2.0
-TOLD_AT_MOST: t.Final = 6
+REPORT_INTERVAL_S: t.Final = 2.0
+MAX_REPORTS: t.Final = 6
 # To tell why a step waits looks at all boxes, 3 to 6 us each. So many are looked at for
 # all steps together, but for one step in any case; and where there are more, more seldom.
-BOXES_AT_MOST: t.Final = 6000
-EVERY_S_PER_BOX: t.Final = 0.001
+MAX_BOXES_EXAMINED: t.Final = 6000
+REPORT_INTERVAL_PER_BOX_S: t.Final = 0.001
 # A step that no pass has looked at for so long is not reached by them.
-UNREACHED_S: t.Final = 0.5
+UNREACHED_THRESHOLD_S: t.Final = 0.5
 
 
 class WaitCause(enum.StrEnum):
@@ -51,14 +51,14 @@
     QUARANTINE = "put_aside"
     EVACUATED = "evacuated"
     # Boxes with room are kept for short work.
-    KEPT = "kept"
+    RESERVED = "kept"
     # A box may take it: it starts with the next pass.
     NONE = "none"
 
 
 # What rules boxes out, from what is seen first; the last of them that rules one out is
 # what a task waits for.
-RULED_OUT: t.Final = (
+EXCLUSION_CAUSES: t.Final = (
     WaitCause.NO_BOX,
     WaitCause.ADVICE,
     WaitCause.LABELS,
@@ -67,7 +67,7 @@
     WaitCause.PER_BOX,
     WaitCause.EVACUATED,
     WaitCause.QUARANTINE,
-    WaitCause.KEPT,
+    WaitCause.RESERVED,
     WaitCause.NONE,
 )
 
@@ -80,13 +80,13 @@
 
     def __init__(self, state: ShardState) -> None:
         self._state = state
-        self._told_at = -1e9
+        self._reported_at = -1e9
         self.causes: dict[WaitCause, int] = {}
 
-    def tell(
+    def report(
         self,
         headroom: Headroom,
-        most_starts: int,
+        max_starts: int,
         inherited_ends: t.Callable[[str], float],
         now: float,
     ) -> t.Iterator[LogEvent]:
@@ -97,50 +97,55 @@
             more, by its life.
         """
         boxes = max(1, len(self._state.boxes))
-        if now - self._told_at < max(TELL_EVERY_S, boxes * EVERY_S_PER_BOX):
+        if now - self._reported_at < max(
+            REPORT_INTERVAL_S, boxes * REPORT_INTERVAL_PER_BOX_S
+        ):
             return
-        self._told_at = now
+        self._reported_at = now
         causes: collections.Counter[WaitCause] = collections.Counter()
         waits = [
             entry
             for entry in self._state.waiting.values()
-            if entry.spec.long_running and now - entry.waits_since > TOLD_AFTER_S
+            if entry.spec.long_running and now - entry.waits_since > REPORT_THRESHOLD_S
         ]
         waits.sort(key=lambda entry: entry.waits_since)
-        for entry in waits[: max(1, min(TOLD_AT_MOST, BOXES_AT_MOST // boxes))]:
-            cause, inputs = self._why(entry, headroom, now)
+        for entry in waits[: max(1, min(MAX_REPORTS, MAX_BOXES_EXAMINED // boxes))]:
+            cause, inputs = self._explain(entry, headroom, now)
             causes[cause] += len(entry.tasks)
-            inputs["most_starts"] = most_starts
-            yield LogEvent("lasting_waits", _name(entry), inputs)
-        lost = [*self._silent(now), *self._unlisted(inherited_ends, now)]
-        causes[WaitCause.LEASE] += sum(note.inputs["tasks"] for note in lost)
-        yield from lost[:TOLD_AT_MOST]
+            inputs["most_starts"] = max_starts
+            yield LogEvent("lasting_waits", _step_name(entry), inputs)
+        lease_waits = [
+            *self._silent_boxes(now),
+            *self._unlisted_boxes(inherited_ends, now),
+        ]
+        causes[WaitCause.LEASE] += sum(note.inputs["tasks"] for note in lease_waits)
+        yield from lease_waits[:MAX_REPORTS]
         self.causes = causes
 
-    def _advised(self, entry: WaitingStep) -> bool:
+    def _needs_advice(self, entry: WaitingStep) -> bool:
         queue = self._state.queues.get(entry.workflow.submission.queue)
         return queue is not None and queue.advised
 
-    def _ruled_out(
+    def _count_exclusions(
         self, entry: WaitingStep, headroom: Headroom, now: float
     ) -> dict[WaitCause, int]:
         """Return how many boxes each cause rules out, after those before it."""
-        counts = dict.fromkeys(RULED_OUT, 0)
+        counts = dict.fromkeys(EXCLUSION_CAUSES, 0)
         service = self._state.service_of(entry.workflow)
-        tickets = entry.tickets if self._advised(entry) else None
+        tickets = entry.tickets if self._needs_advice(entry) else None
         for box in self._state.boxes.values():
             if box.entry.service == service:
-                counts[_ruled_out_by(entry, box, tickets, headroom, now)] += 1
+                counts[_exclusion_cause(entry, box, tickets, headroom, now)] += 1
         return counts
 
-    def _why(
+    def _explain(
         self, entry: WaitingStep, headroom: Headroom, now: float
     ) -> tuple[WaitCause, dict[str, t.Any]]:
         step = entry.spec
-        counts = self._ruled_out(entry, headroom, now)
-        last = (cause for cause in reversed(RULED_OUT) if counts[cause])
+        counts = self._count_exclusions(entry, headroom, now)
+        last = (cause for cause in reversed(EXCLUSION_CAUSES) if counts[cause])
         cause = next(last, WaitCause.NO_BOX)
-        if cause is WaitCause.NONE and now - entry.reached_at > UNREACHED_S:
+        if cause is WaitCause.NONE and now - entry.reached_at > UNREACHED_THRESHOLD_S:
             cause = WaitCause.UNREACHED
         inputs = {
             "cause": cause.value,
@@ -149,54 +154,56 @@
             "cpu": step.cpu,
             "memory_mb": step.memory_mb,
             "per_box": step.per_box,
-            "reached_s_ago": _ago(entry.reached_at, now),
+            "reached_s_ago": _seconds_since(entry.reached_at, now),
             "suspects": entry.suspects,
             "boxes": {cause.value: count for cause, count in counts.items() if count},
-            "roomy_since_s_ago": _ago(entry.roomy_since, now),
-            "roomy_s_ago": _ago(entry.roomy_at, now),
+            "roomy_since_s_ago": _seconds_since(entry.roomy_since, now),
+            "roomy_s_ago": _seconds_since(entry.roomy_at, now),
         }
-        if self._advised(entry):
-            inputs["asked_s_ago"] = _ago(entry.asked_at, now)
+        if self._needs_advice(entry):
+            inputs["asked_s_ago"] = _seconds_since(entry.asked_at, now)
             inputs["advice_left_s"] = round(entry.advice_until - now, 2)
         return cause, inputs
 
-    def _silent(self, now: float) -> t.Iterator[LogEvent]:
+    def _silent_boxes(self, now: float) -> t.Iterator[LogEvent]:
         for box in self._state.boxes.values():
             since = box.silent_since
-            if since is None or now - since <= TOLD_AFTER_S:
+            if since is None or now - since <= REPORT_THRESHOLD_S:
                 continue
-            lasting = sum(task.spec.long_running for task in box.tasks.values())
-            if not lasting:
+            long_running_tasks = sum(
+                task.spec.long_running for task in box.tasks.values()
+            )
+            if not long_running_tasks:
                 continue
             inputs = {
                 "cause": WaitCause.LEASE.value,
                 "silent_s": round(now - since, 2),
-                "tasks": lasting,
+                "tasks": long_running_tasks,
                 "lease_left_s": round(box.lease_ends - now, 2),
                 "listed": box.listed,
                 "adopted": box.adopted,
             }
             yield LogEvent("lasting_waits", box.incarnation, inputs)
 
-    def _unlisted(
+    def _unlisted_boxes(
         self, inherited_ends: t.Callable[[str], float], now: float
     ) -> t.Iterator[LogEvent]:
         for incarnation, tasks in self._state.inherited.items():
-            lasting = sum(
+            long_running_tasks = sum(
                 task.spec.long_running for task in tasks if task.box == incarnation
             )
-            if not lasting:
+            if not long_running_tasks:
                 continue
             inputs = {
                 "cause": WaitCause.LEASE.value,
-                "tasks": lasting,
+                "tasks": long_running_tasks,
                 "lease_left_s": round(inherited_ends(incarnation) - now, 2),
                 "listed": False,
             }
             yield LogEvent("lasting_waits", incarnation, inputs)
 
 
-def _ruled_out_by(
+def _exclusion_cause(
     entry: WaitingStep,
     box: BoxView,
     tickets: t.Collection[str] | None,
@@ -218,10 +225,10 @@
         return WaitCause.CPU
     if not box.fits(step):
         return WaitCause.MEMORY
-    return _shut_by(entry, box, headroom, now)
+    return _closing_cause(entry, box, headroom, now)
 
 
-def _shut_by(
+def _closing_cause(
     entry: WaitingStep, box: BoxView, headroom: Headroom, now: float
 ) -> WaitCause:
     """Return the first cause for which a box that has room does not take a task."""
@@ -232,13 +239,13 @@
         return WaitCause.EVACUATED
     if now < box.closed_until:
         return WaitCause.QUARANTINE
-    return WaitCause.KEPT if headroom.keeps(box) else WaitCause.NONE
+    return WaitCause.RESERVED if headroom.is_reserved(box) else WaitCause.NONE
 
 
-def _ago(at: float, now: float) -> float | None:
+def _seconds_since(at: float, now: float) -> float | None:
     """Return how long ago something was, or ``None`` if it never was."""
     return round(now - at, 2) if at > 0.0 else None
 
 
-def _name(entry: WaitingStep) -> str:
+def _step_name(entry: WaitingStep) -> str:
     return f"{entry.workflow.submission.job}.{entry.occurrence}.{entry.step}"
--- a/src/granitetrestle/mechanisms.py
+++ b/src/granitetrestle/mechanisms.py
@@ -26,9 +26,9 @@
     # Slowed tasks are moved to better boxes - they stay.
     MOVES = "moves"
     # Strengths of pairs of images are learnt - every pair is taken as unknown.
-    LEARNT_STRENGTHS = "learnt_strengths"
+    LEARNT_SENSITIVITIES = "learnt_strengths"
     # Idle tails are learnt by image - all are taken for the prior.
-    LEARNT_TAILS = "learnt_tails"
+    LEARNT_UNLOADED_TAILS = "learnt_tails"
     # Loads of serving tasks are followed with their trend - by level alone.
     LOAD_TREND = "load_trend"
     # Boxes that fail what they start are put aside - they stay in use.
@@ -42,7 +42,7 @@
     # What is too late to be of use waits behind what is late - they count alike.
     TOO_LATE_LAST = "too_late_last"
     # Refused clients come back at steady intervals - the longer the store is away the later.
-    STEADY_RETURNS = "steady_returns"
+    STEADY_RETRIES = "steady_returns"
 
 
 def parse_switched_off(text: str) -> frozenset[Mechanism]:
--- a/src/granitetrestle/progress.py
+++ b/src/granitetrestle/progress.py
@@ -3,7 +3,7 @@
 
 import typing as t
 
-from .crashloops import forgive
+from .crashloops import clear_suspicion
 from .decisions import Decision
 from .decisions import LogEvent
 from .decisions import StopTask
@@ -40,8 +40,8 @@
         put_aside = self._state.on(Mechanism.QUARANTINE)
         if put_aside and box is not None and row.how in ("done", "failed"):
             failed = row.how == "failed"
-            self._state.failure_rate.saw(failed)
-            in_a_row = self._state.failure_rate.in_a_row
+            self._state.failure_rate.observe(failed)
+            in_a_row = self._state.failure_rate.quarantine_threshold
             if box.run_ended(workflow.submission.job, failed, in_a_row, now):
                 inputs = {"closed_s": round(box.closed_until - now, 1)}
                 effects.append(LogEvent("box_put_aside", incarnation, inputs))
@@ -103,7 +103,7 @@
 
     def requeue(self, task: Task, now: float) -> None:
         """Take a task off its box and let it wait again."""
-        forgive(task, now)
+        clear_suspicion(task, now)
         self._state.free(task)
         task.state = PENDING
         self._state.changed(task)
--- a/src/granitetrestle/scheduler.py
+++ b/src/granitetrestle/scheduler.py
@@ -12,7 +12,7 @@
 from .decisions import PaceTask
 from .decisions import StartTask
 from .decisions import StepDown
-from .dispatch import ANY_NUMBER
+from .dispatch import UNLIMITED_STARTS
 from .dispatch import Dispatcher
 from .evacuation import Evacuation
 from .fleet import Fleet
@@ -125,7 +125,7 @@
         restored = yield from self._state.restore(records, now)
         self._doubtful = restored.doubtful
         for workflow in self._state.workflows.values():
-            self._dispatcher.submitted(workflow)
+            self._dispatcher.record_submission(workflow)
             if not workflow.terminal and workflow not in self._doubtful:
                 self._state.enter_steps(workflow, now)
             yield
@@ -179,7 +179,7 @@
         if submission.job in self._state.workflows:
             return [answer]
         workflow = self._state.add(submission, now)
-        self._dispatcher.submitted(workflow)
+        self._dispatcher.record_submission(workflow)
         self._state.enter_steps(workflow, now)
         tasks = sum(step.count for step in submission.steps)
         inputs = {"queue": submission.queue, "tasks": tasks}
@@ -195,7 +195,7 @@
         return [*effects, AnswerCall(request, Cancelled())]
 
     def decide(
-        self, now: float, wall_ms: int, most_starts: int = ANY_NUMBER
+        self, now: float, wall_ms: int, max_starts: int = UNLIMITED_STARTS
     ) -> list[Decision]:
         """Place what waits, and take back what must have ended.
 
@@ -213,17 +213,17 @@
         if now - self._learnt_at > LEARNT_EVERY_S:
             self._learnt_at = now
             self._state.note_interference()
-        effects += self._long_running_waits.tell(
+        effects += self._long_running_waits.report(
             self._dispatcher.headroom,
-            most_starts,
+            max_starts,
             self._fleet.inherited_ends_of,
             now,
         )
-        effects += self._evacuation.held(now)
+        effects += self._evacuation.report_held_starts(now)
         if not self._evacuation.up_to_date(now):
             return effects
         effects += self._dispatcher.move_slowed(now)
-        return effects + self._dispatcher.place(now, wall_ms, most_starts)
+        return effects + self._dispatcher.place(now, wall_ms, max_starts)
 
     def _sweep(self, now: float) -> None:
         keep = self._state.parameters.keep_s
@@ -240,7 +240,7 @@
         self, asked: AskAdvice, advice: Advice | AdviceUnavailable, now: float
     ) -> list[Decision]:
         """Apply what came of asking which boxes may run a step."""
-        return self._dispatcher.advised(asked, advice, now)
+        return self._dispatcher.apply_advice(asked, advice, now)
 
     def start_wanted(self, order: StartTask, now: float) -> bool:
         """Say whether a start that was held back should still be sent, which it then is:
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -59,7 +59,7 @@
 from .succession import JOBS_TOPIC
 from .succession import StateRead
 from .succession import StateUnavailable
-from .waitingorder import waiting_tasks
+from .waitingorder import count_waiting_tasks
 
 __all__ = ["Session", "Sources"]
 
@@ -115,7 +115,7 @@
         self._operators = OperatorFeed(*parts)
         self._listed = BoxFeed(*parts)
         self._keepers: dict[str, BoxPoller] = {}
-        steady = Mechanism.STEADY_RETURNS not in parameters.off
+        steady = Mechanism.STEADY_RETRIES not in parameters.off
         self._come_back: RetryAfter = SteadyRetries() if steady else FollowingOutage()
         limited = Mechanism.COMMAND_WINDOW not in parameters.off
         self._window = CommandWindow(lag=self._lag) if limited else UnlimitedWindow()
@@ -136,7 +136,7 @@
     def load(self, now: float) -> dict[str, float]:
         """Return what waits, and how far behind this process is."""
         entries = self._scheduler.state.waiting.values()
-        waiting = waiting_tasks(entries, now)
+        waiting = count_waiting_tasks(entries, now)
         causes = self._scheduler.long_running_waits.causes
         return {
             **{f"tasks_waiting_{kind}": float(n) for kind, n in waiting.items()},
--- a/src/granitetrestle/shardstate.py
+++ b/src/granitetrestle/shardstate.py
@@ -152,8 +152,8 @@
         self.queues: dict[str, Queue] = {}
         self.waiting: dict[tuple[str, int, int], WaitingStep] = {}
         self.interference = Interference(
-            learns=self.on(Mechanism.LEARNT_STRENGTHS),
-            learns_tails=self.on(Mechanism.LEARNT_TAILS),
+            learns=self.on(Mechanism.LEARNT_SENSITIVITIES),
+            learns_tails=self.on(Mechanism.LEARNT_UNLOADED_TAILS),
         )
         self.failure_rate = FailureRate()
         self.loads = StepLoads(trend=self.on(Mechanism.LOAD_TREND))
--- a/src/granitetrestle/waitingorder.py
+++ b/src/granitetrestle/waitingorder.py
@@ -11,50 +11,50 @@
 from .workflows import Task
 from .workflows import Workflow
 
-__all__ = ["ByArrival", "ByUrgency", "WaitingOrder", "waiting_tasks"]
+__all__ = ["ByArrival", "ByUrgency", "WaitingOrder", "count_waiting_tasks"]
 
 IN_TIME: t.Final = 0
 LATE: t.Final = 1
 TOO_LATE: t.Final = 2
 
 # Priority, lateness, whether its size is not left behind, and what decides then.
-OrderKey: t.TypeAlias = tuple[int, int, bool, float]
+SortKey: t.TypeAlias = tuple[int, int, bool, float]
 
 
 class WaitingOrder(abc.ABC):
     """Orders steps that wait."""
 
     @abc.abstractmethod
-    def submitted(self, workflow: Workflow) -> None:
+    def record_submission(self, workflow: Workflow) -> None:
         """Take note of a job that came, or that a predecessor left."""
 
     @abc.abstractmethod
-    def begin(self, now: float) -> None:
+    def start_pass(self, now: float) -> None:
         """Prepare for a pass over what waits."""
 
     @abc.abstractmethod
-    def started(self, task: Task) -> None:
+    def record_start(self, task: Task) -> None:
         """Take note of a task that was given a box."""
 
     @abc.abstractmethod
-    def key(self, entry: WaitingStep, now: float) -> OrderKey:
+    def sort_key(self, entry: WaitingStep, now: float) -> SortKey:
         """Return what to sort by; the least goes first."""
 
 
 class ByArrival(WaitingOrder):
     """Baseline: by the queue's priority, then first come, first served."""
 
-    def submitted(self, workflow: Workflow) -> None:
-        """See :meth:`WaitingOrder.submitted`."""
+    def record_submission(self, workflow: Workflow) -> None:
+        """See :meth:`WaitingOrder.record_submission`."""
 
-    def begin(self, now: float) -> None:
-        """See :meth:`WaitingOrder.begin`."""
+    def start_pass(self, now: float) -> None:
+        """See :meth:`WaitingOrder.start_pass`."""
 
-    def started(self, task: Task) -> None:
-        """See :meth:`WaitingOrder.started`."""
+    def record_start(self, task: Task) -> None:
+        """See :meth:`WaitingOrder.record_start`."""
 
-    def key(self, entry: WaitingStep, now: float) -> OrderKey:
-        """See :meth:`WaitingOrder.key`."""
+    def sort_key(self, entry: WaitingStep, now: float) -> SortKey:
+        """See :meth:`WaitingOrder.sort_key`."""
         return (entry.priority, IN_TIME, True, entry.workflow.accepted_at)
 
 
@@ -75,29 +75,31 @@
         self._size_shares = size_shares
         self._sizes = JobSizes()
 
-    def submitted(self, workflow: Workflow) -> None:
-        """See :meth:`WaitingOrder.submitted`."""
+    def record_submission(self, workflow: Workflow) -> None:
+        """See :meth:`WaitingOrder.record_submission`."""
         if any(step.best_effort for step in workflow.submission.steps):
-            self._sizes.submitted(workflow.submission.queue, workflow.whole_work)
+            self._sizes.record_submission(
+                workflow.submission.queue, workflow.whole_work
+            )
 
-    def begin(self, now: float) -> None:
-        """See :meth:`WaitingOrder.begin`."""
+    def start_pass(self, now: float) -> None:
+        """See :meth:`WaitingOrder.start_pass`."""
         if self._size_shares:
-            self._sizes.compare(now)
+            self._sizes.update_shares(now)
 
-    def started(self, task: Task) -> None:
-        """See :meth:`WaitingOrder.started`."""
+    def record_start(self, task: Task) -> None:
+        """See :meth:`WaitingOrder.record_start`."""
         if task.spec.best_effort and self._size_shares:
             work = task.spec.cpu * task.spec.estimate_ms
-            part = work / max(1, task.workflow.whole_work)
-            self._sizes.started(self._size(task.workflow), part)
+            share = work / max(1, task.workflow.whole_work)
+            self._sizes.record_start(self._size_class(task.workflow), share)
 
-    def _size(self, workflow: Workflow) -> SizeClass:
+    def _size_class(self, workflow: Workflow) -> SizeClass:
         queue = workflow.submission.queue
-        return self._sizes.class_of(queue, workflow.whole_work)
+        return self._sizes.size_class(queue, workflow.whole_work)
 
-    def key(self, entry: WaitingStep, now: float) -> OrderKey:
-        """See :meth:`WaitingOrder.key`."""
+    def sort_key(self, entry: WaitingStep, now: float) -> SortKey:
+        """See :meth:`WaitingOrder.sort_key`."""
         lateness = self._lateness(entry, now)
         if not entry.spec.best_effort:
             return (entry.priority, lateness, True, entry.latest_start)
@@ -106,8 +108,8 @@
         if self._by_value:
             queue = workflow.submission.queue
             left /= self._sizes.value(queue, workflow.whole_work)
-        kept_up = not self._sizes.behind(self._size(workflow))
-        return (entry.priority, lateness, kept_up, left)
+        served = not self._sizes.is_underserved(self._size_class(workflow))
+        return (entry.priority, lateness, served, left)
 
     def _lateness(self, entry: WaitingStep, now: float) -> int:
         lateness = _lateness(entry, now)
@@ -120,7 +122,7 @@
     return LATE if now <= entry.last_use else TOO_LATE
 
 
-def waiting_tasks(entries: t.Iterable[WaitingStep], now: float) -> dict[str, int]:
+def count_waiting_tasks(entries: t.Iterable[WaitingStep], now: float) -> dict[str, int]:
     """Return how many tasks wait, by class of work, by how late they are, and how many
     are suspected of crashing boxes."""
     kinds = ("short", "fills", "lasting", "late", "too_late", "suspected")
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -122,13 +122,13 @@
         news = store.read(HALLS, max(0, self.halls_from))
         if self.halls_from >= 0 and isinstance(news, Records):
             orders = [HallDirective(r.key, r.value is not None) for r in news.records]
-            self.apply(evacuation.ordered(orders, self.now))
+            self.apply(evacuation.apply_directives(orders, self.now))
         else:
             newest = store.newest(HALLS)
             orders = [HallDirective(record.key, True) for record in newest.records]
-            self.apply(evacuation.all_ordered(orders, (), self.now))
+            self.apply(evacuation.replace_directives(orders, (), self.now))
         self.halls_from = store.end(HALLS)
-        evacuation.heard(self.now)
+        evacuation.record_read(self.now)
 
     def list_boxes(self) -> None:
         """Take up the newest list of boxes."""
--- a/tools/life_mutants.py
+++ b/tools/life_mutants.py
@@ -7,7 +7,7 @@
 LIFE_MUTANTS = (
     Mutant(
         "life: boxes that are lost in waves count as crashed by what had just begun",
-        (("crashloops.py", ">= WAVE\n", ">= WAVE and False\n"),),
+        (("crashloops.py", ">= WAVE_MIN_BOXES\n", ">= WAVE_MIN_BOXES and False\n"),),
         "box_crashes",
     ),
     Mutant(
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -125,20 +125,32 @@
         (
             (
                 "crashloops.py",
-                "if task.sent and not _proved(box, task)",
-                "if not _proved(box, task)",
+                "if task.sent and not _is_proven(box, task)",
+                "if not _is_proven(box, task)",
             ),
         ),
         "box_crashes",
     ),
     Mutant(
         "native: an older run is blamed as one that has just begun",
-        (("crashloops.py", "if lost_at - _began(task) <= JUST_BEGUN_S]", "]"),),
+        (
+            (
+                "crashloops.py",
+                "if lost_at - _start_time(task) <= JUST_STARTED_MAX_AGE_S]",
+                "]",
+            ),
+        ),
         "box_crashes",
     ),
     Mutant(
         "native: every suspect keeps a box for itself",
-        (("crashloops.py", "if len(self._kept) < self._most:", "if True:"),),
+        (
+            (
+                "crashloops.py",
+                "if len(self._reserved) < self._max_reserved:",
+                "if True:",
+            ),
+        ),
         "box_crashes",
     ),
     Mutant(
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -26,7 +26,7 @@
         (
             (
                 "evacuation.py",
-                "return self.ordered([*restored, *orders], now)",
+                "return self.apply_directives([*restored, *directives], now)",
                 "return []",
             ),
         ),
@@ -129,8 +129,8 @@
         (
             (
                 "waitingorder.py",
-                "kept_up = not self._sizes.behind(self._size(workflow))",
-                "kept_up = True",
+                "served = not self._sizes.is_underserved(self._size_class(workflow))",
+                "served = True",
             ),
         ),
         "load_wide_jobs",
