--- a/src/granitetrestle/crashloops.py
+++ b/src/granitetrestle/crashloops.py
@@ -1,9 +1,11 @@
-"""Which tasks crash the boxes that start them. A box that crashes lists no ends, so that
-what ran there has to be judged by what was there, and most of it did nothing wrong. A
-run that was seen at work for a while is cleared. Of the others those are suspected that
-had just begun, and of these the ones under which boxes crashed before. A suspect is
-tried again on a box that takes nothing else at that moment, so that the next crash tells
-whether it was this one."""
+"""Crash loops: finds the tasks that crash the boxes that start them.
+
+A box that crashes reports no ends of runs, so the cause has to be inferred from the
+tasks that were on it, most of which did not cause the crash. A run that was observed
+running for a while is cleared. Of the others, tasks that had just started are
+suspected, and of these the ones under which boxes crashed before. A suspect is retried
+on a box that takes no other task at that moment, so that another crash shows whether it
+is the cause."""
 
 import collections
 import math
@@ -24,43 +26,44 @@
     "may_have_crashed",
 ]
 
-# A run that was seen at work for so long did not crash its box by being started.
+# A run that was observed running for this long did not crash its box by its start.
 MIN_PROVEN_RUNTIME_S: t.Final = 2.0
-# Crashes by a start come within 0.1 s of it; the way of the order and of the news of the
-# lost connection, on a slow link and a busy decider, fit in too.
+# A start that crashes a box does so within 0.1 s; the rest is for the delivery of the
+# command and the detection of the lost connection, on a slow link and a busy leader.
 JUST_STARTED_MAX_AGE_S: t.Final = 0.5
-# Points for a crash: of the task that is suspected most, if its start was answered; of
-# others that have just begun, or may not have begun at all; and of those that began
-# earlier, if nobody was suspected before.
+# Points of suspicion for a crash: for the most suspected task, if its start was
+# answered; for others that had just started, or may not have started at all; and for
+# those that started earlier, if none was suspected before.
 LIKELY_POINTS: t.Final = 3
 LESS_LIKELY_POINTS: t.Final = 2
 POSSIBLE_POINTS: t.Final = 1
-# Points where boxes are also lost by themselves, in place of the first: two hits by chance
-# are then not rare, and four crashes give a task up.
+# Replaces LIKELY_POINTS while boxes are also lost for unrelated causes: two
+# coincidences are then not rare, and a task is given up after four crashes.
 LIKELY_POINTS_AMID_LOSSES: t.Final = 2
-# Boxes are lost by themselves where so many fell silent within so long of each other, or
-# one was lost of late on which nothing had just begun.
+# A loss may be unrelated to tasks if this many boxes fell silent within this time of
+# each other, or if a box on which no task had just started was lost recently.
 WAVE_MIN_BOXES: t.Final = 3
 WAVE_WINDOW_S: t.Final = 0.5
 RECENT_LOSS_WINDOW_S: t.Final = 30.0
-# Three crashes give a task up, four if no start was answered. Accounts are promised that
-# five do; some may not have been counted, while a store or a decider was away.
+# A task is given up after three crashes, or four if no start was answered. Accounts are
+# promised that it is after five; some crashes may go uncounted while the store or the
+# leader is unavailable.
 GIVE_UP_THRESHOLD: t.Final = 8
-# Two are enough if at the second nothing else had just begun.
+# Two crashes are enough if no other task had just started at the second.
 GIVE_UP_THRESHOLD_ALONE: t.Final = 2 * LIKELY_POINTS
-# A task that has been at work for so long is suspected no more: one that lasts for weeks
+# A task that has run for this long is no longer suspected: one that runs for weeks
 # loses boxes now and then, and would be given up in the end.
 CLEARED_RUNTIME_S: t.Final = 60.0
-# The most of a pool's open boxes that are kept for suspects at a time, as a share: others
-# have just lost a box as well, and wait for room.
+# Maximum share of a pool's open boxes that are reserved for suspects at a time: other
+# tasks have just lost a box as well, and wait for room.
 MAX_TRIAL_BOXES_SHARE: t.Final = 0.125
 
 
 class BlamedTasks(t.NamedTuple):
-    """What a lost box tells of the tasks that were on it.
+    """The tasks that are blamed for the loss of a box.
 
     :param tasks: each of them may have crashed it.
-    :param alone: whether no other run had just begun there, and this one surely had.
+    :param alone: whether one run, and no other, is known to have just started there.
     """
 
     tasks: tuple[Task, ...]
@@ -75,25 +78,25 @@
 
 
 def _is_proven(box: BoxView, task: Task) -> bool:
-    """Say whether a run was seen at work for long enough before its box was lost."""
+    """Return whether a run was observed running for long before its box was lost."""
     began = task.running_since
     return bool(began) and box.clock_at - began >= MIN_PROVEN_RUNTIME_S
 
 
 def may_have_crashed(box: BoxView) -> list[Task]:
-    """Return the tasks on a box that was lost of which any may have crashed it."""
+    """Return the tasks on a lost box that may have crashed it."""
     return [
         task for task in box.tasks.values() if task.sent and not _is_proven(box, task)
     ]
 
 
 def has_just_started(task: Task, lost_at: float) -> bool:
-    """Say whether a run was young when its box was lost."""
+    """Return whether a run had just started when its box was lost."""
     return lost_at - _start_time(task) <= JUST_STARTED_MAX_AGE_S
 
 
 class BoxLosses:
-    """Tells whether boxes are lost for other causes than what starts there."""
+    """Detects whether boxes are lost for causes unrelated to the tasks on them."""
 
     def __init__(self) -> None:
         # When boxes fell silent, the newest last.
@@ -101,17 +104,17 @@
         self._unexplained_at = -math.inf
 
     def record_silence(self, now: float) -> None:
-        """Note that a box fell silent."""
+        """Record that a box fell silent."""
         self._silent.append(now)
         while self._silent[0] < now - RECENT_LOSS_WINDOW_S:
             self._silent.popleft()
 
     def record_unexplained(self, now: float) -> None:
-        """Note that a box was lost on which nothing had just begun."""
+        """Record that a box was lost on which no task had just started."""
         self._unexplained_at = now
 
     def may_be_unrelated(self, silent_at: float | None, now: float) -> bool:
-        """Say whether a box that is lost now may have been lost by itself.
+        """Return whether the loss of a box now may be unrelated to its tasks.
 
         :param silent_at: when it fell silent, if it did.
         """
@@ -127,10 +130,11 @@
 def blame(
     candidates: t.Sequence[Task], lost_at: float = math.inf, by_itself: bool = False
 ) -> BlamedTasks:
-    """Count a box that was lost against the tasks that may have crashed it.
+    """Add points of suspicion to the tasks that may have crashed a lost box.
 
+    :param candidates: the tasks of :func:`may_have_crashed`.
     :param lost_at: when it was lost, or last answered before.
-    :param by_itself: whether it may have been lost for another cause.
+    :param by_itself: whether it may have been lost for an unrelated cause.
     """
     likely = [task for task in candidates if has_just_started(task, lost_at)]
     likely = likely or list(candidates)
@@ -140,17 +144,17 @@
         if task in tasks and task.running_since:
             task.suspicion += LIKELY_POINTS_AMID_LOSSES if by_itself else LIKELY_POINTS
         elif task in likely:
-            # Two that crash boxes may start together each time, on the only box there is.
+            # Two tasks that crash boxes may start together each time, on the only box.
             task.suspicion += LESS_LIKELY_POINTS
         elif not max_suspicion:
-            # It may take a while to crash a box.
+            # A task may run for a while before it crashes its box.
             task.suspicion += POSSIBLE_POINTS
     alone = len(likely) == 1 and bool(likely[0].running_since) and not by_itself
     return BlamedTasks(tasks, alone)
 
 
 def is_given_up(task: Task, alone: bool) -> bool:
-    """Say whether a task whose box was lost is not tried again.
+    """Return whether a task whose box was lost is not retried.
 
     :param alone: whether it alone can have been the cause.
     """
@@ -158,25 +162,25 @@
 
 
 def clear_suspicion(task: Task, now: float) -> None:
-    """Suspect a task no more whose run was at work for long."""
+    """Clear the suspicion of a task whose run has been running for long."""
     if task.running_since and now - task.running_since >= CLEARED_RUNTIME_S:
         task.suspicion = 0
 
 
 class Trials:
-    """Chooses the boxes on which suspects are tried."""
+    """Chooses the boxes on which suspects are retried."""
 
     def __init__(self) -> None:
         self._now = 0.0
-        # Box that is kept for a suspect -> until when.
+        # Incarnation of a box that is reserved for a suspect -> until when.
         self._reserved: dict[str, float] = {}
         self._max_reserved = 0
         self._just_started: collections.Counter[str] = collections.Counter()
 
     def start_pass(self, boxes: t.Collection[BoxView], now: float) -> None:
-        """Begin a search.
+        """Prepare for the suspects of a step.
 
-        :param boxes: all that are open for work.
+        :param boxes: all boxes that are open for work.
         """
         self._now = now
         self._reserved = {
@@ -192,13 +196,13 @@
                     self._just_started[box.incarnation] += 1
 
     def rank(self, box: BoxView) -> tuple[int, int, str]:
-        """Return how well a box suits a suspect, the least being best: where a crash
-        would tell most, and take least along."""
+        """Return the rank of a box for a suspect, the lowest being best: where a crash
+        is the strongest evidence, and affects the fewest other tasks."""
         return (self._just_started[box.incarnation], len(box.tasks), box.incarnation)
 
     def record_start(self, box: BoxView) -> None:
-        """Keep a box for the suspect that goes there, for as long as it takes to tell,
-        unless too many are kept."""
+        """Reserve a box for the suspect that starts there, until a crash by its start
+        would have shown, unless too many boxes are reserved."""
         self._just_started[box.incarnation] += 1
         if len(self._reserved) < self._max_reserved:
             self._reserved[box.incarnation] = self._now + JUST_STARTED_MAX_AGE_S
--- a/src/granitetrestle/dispatch.py
+++ b/src/granitetrestle/dispatch.py
@@ -1,5 +1,7 @@
-"""Passes over the tasks that wait: which goes to a box now, and which, and which task
-is moved because it is kept slow where it is."""
+"""Placement passes: assign waiting tasks to boxes, and move tasks that are kept slow.
+
+A pass visits the waiting steps in the order of :mod:`.waitingorder`. Ahead of it, the
+steps that have waited longest get a few starts, so that no step starves."""
 
 import heapq
 import typing as t
@@ -45,40 +47,42 @@
 
 __all__ = ["UNLIMITED_STARTS", "Dispatcher"]
 
-# More tasks than ever wait.
+# Larger than any number of waiting tasks.
 UNLIMITED_STARTS: t.Final = 1_000_000_000
 
-# Asking takes a time for each box named, and calls wait for each other: the roomiest
-# boxes are named, and a step without an answer waits this long to ask again.
+# The advice service needs time for each box named, and its calls queue: only the boxes
+# with the most free processor time are named, and a step asks again after an interval.
 MAX_ADVICE_BOXES: t.Final = 24
 ADVICE_RETRY_INTERVAL_S: t.Final = 1.5
-# Share of an advice's validity in which starts are made; the rest is for their way.
+# Starts are made in this share of an advice's validity; the rest is for their delivery.
 ADVICE_VALIDITY_FACTOR: t.Final = 0.8
-# Figures that decide where what fills may go come twice a second from each box.
+# Best-effort tasks are placed less often than others: the figures that decide where
+# they may run come only twice a second from each box.
 BEST_EFFORT_INTERVAL_S: t.Final = 0.08
-# A job that fills is never left with nothing running for longer than this: its account
-# is promised that work goes on while there is room, and it may use quiet seconds.
+# Maximum time for which a best-effort job has no task running: its account is promised
+# that work goes on while there is room, and it may use seconds of low load.
 STARVATION_THRESHOLD_S: t.Final = 1.5
-# A step that has waited for so long, or has not started a task for so long, gets one start
-# ahead of all others: what has room begins within three seconds, looks and orders included.
+# A step that has started no task for this long gets one start ahead of all others, so
+# that tasks that have room start within three seconds, polls and commands included.
 AGING_THRESHOLD_S: t.Final = 2.0
-# Such starts take at most this part of a pass, and at least one; so many steps are tried,
-# since each search looks at all boxes.
+# Such starts take up to this share of a pass, and one in any case. The number of steps
+# tried is limited because each search examines all boxes.
 MAX_AGED_STARTS_SHARE: t.Final = 0.25
 MAX_AGED_TRIES: t.Final = 4
-# One task at a time is moved, so that the next choice sees where it went.
+# One task is moved at a time, so that the next choice takes its new box into account.
 MOVE_INTERVAL_S: t.Final = 0.05
-# When no better box was found for a slowed task, boxes are sought for tasks of its image
-# that need as much again after this, when the figures of many have changed; and at most
-# for so many in a pass. Each search looks at all boxes.
+# After a search without result, tasks of the same image that need as much processor
+# time or more are skipped for this interval, in which the figures of many boxes change.
+# The searches of a pass are limited because each examines all boxes.
 MOVE_RETRY_INTERVAL_S: t.Final = 0.3
 MAX_MOVE_SEARCHES: t.Final = 8
 
+# The requirements of a task that decide which boxes can run it.
 PlacementKey: t.TypeAlias = tuple[t.Any, ...]
 
 
 class Dispatcher:
-    """Places what waits in a :class:`~.shardstate.ShardState`."""
+    """Places the waiting tasks of a :class:`~.shardstate.ShardState`."""
 
     def __init__(
         self, state: ShardState, progress: Progress, packer: Packer | None, now: float
@@ -93,30 +97,30 @@
         self._order = _waiting_order(state)
         self._trials = Trials()
         self._move_checked_at = now
-        # Image -> the least processor time for which no better box was found, and when.
+        # Image -> the least need (thousandths of a core) of a failed search, and when.
         self._failed_searches: dict[str, tuple[int, float]] = {}
         self._best_effort_placed_at = 0.0
-        # Whether the last pass ended before it had come to all that waits.
+        # Whether the last pass used up its starts before it had reached every step.
         self._cut_short = False
-        # Kinds of task that found no box in the pass under way.
+        # Requirements for which no box was found in the current pass.
         self._unplaceable: set[PlacementKey] = set()
 
     @property
     def headroom(self) -> Headroom:
-        """Which boxes lasting work leaves alone."""
+        """The boxes that are reserved from long-running tasks."""
         return self._headroom
 
     def record_submission(self, workflow: Workflow) -> None:
-        """Take note of a job that came, or that a predecessor left."""
+        """Record a job that was submitted, or was read from a predecessor's records."""
         self._order.record_submission(workflow)
 
     def place(
         self, now: float, wall_ms: int, max_starts: int = UNLIMITED_STARTS
     ) -> list[Decision]:
-        """Start what has a box.
+        """Start the waiting tasks for which a box is found.
 
         :param wall_ms: time of day in ms since 1970, for timed jobs.
-        :param most_starts: no more tasks than this are started now; a gang may exceed it.
+        :param max_starts: limit of starts in this pass; a gang may exceed it.
         """
         waiting = self._state.waiting
         if not waiting:
@@ -143,7 +147,7 @@
                 break
             if not best_effort_due and entry.spec.best_effort:
                 continue
-            # The last task of a step may have been listed as done while it waited.
+            # A box may have listed the last task of a step as done while it waited.
             due = entry.workflow.due_at_ms(entry.occurrence) <= wall_ms
             if entry.tasks and due:
                 pool = self._state.index.pool(self._state.service_of(entry.workflow))
@@ -154,8 +158,9 @@
         return effects
 
     def _place_aged(self, now: float, wall_ms: int, max_starts: int) -> list[Decision]:
-        """Start one task each of the steps that have waited longest, whatever comes before
-        them: where orders are what is short, work in time would keep them waiting for ever."""
+        """Start one task each of the steps that have waited longest, ahead of others.
+        Without this, work that can still be in time keeps them waiting for ever where
+        the number of commands, rather than room, limits the starts."""
         aged = (
             entry
             for entry in self._state.waiting.values()
@@ -164,13 +169,13 @@
             and entry.workflow.due_at_ms(entry.occurrence) <= wall_ms
         )
         effects: list[Decision] = []
-        # Where a pass comes to all, room is what is short, and the order shares it out.
+        # If the last pass reached every step, room is the limit, and the order decides.
         tries = MAX_AGED_TRIES if self._cut_short else 1
         limit = max(1, int(MAX_AGED_STARTS_SHARE * max_starts))
         for entry in heapq.nsmallest(tries, aged, key=_aging_rank):
             if len(effects) >= limit:
                 break
-            # One that has room nowhere keeps no other from its turn.
+            # Otherwise a step that fits nowhere would be tried first in every pass.
             entry.tried_at = now
             pool = self._state.index.pool(self._state.service_of(entry.workflow))
             if _has_boxes(pool, entry.spec):
@@ -178,7 +183,7 @@
         return effects
 
     def _waiting_short_cpu(self) -> dict[str, int]:
-        """Return service -> thousandths of a core that waiting short work reserves."""
+        """Return service -> thousandths of a core that waiting short tasks reserve."""
         short: dict[str, int] = {}
         for entry in self._state.waiting.values():
             step = entry.spec
@@ -237,8 +242,8 @@
                     }
                     effects.append(LogEvent("box_tried", box.incarnation, inputs))
             if box is None:
-                # What lasts must be looked at each time: how long there has been room
-                # for it counts.
+                # Long-running steps are searched each time, since the headroom records
+                # how long there has been room for them.
                 if not step.per_box and not step.long_running:
                     self._unplaceable.add(placement_key)
                 break
@@ -249,9 +254,9 @@
     def _choose_trial_box(
         self, entry: WaitingStep, task: Task, pool: Pool, now: float
     ) -> BoxView | None:
-        """Return a box that is put aside, to be tried with a task that lasts and has
-        room nowhere else: else nothing would tell that the box is well again, and what
-        lasts would wait for the end of the pause."""
+        """Return a quarantined box for a long-running task that has room nowhere else.
+        Without such a trial nothing shows that the box has recovered, and the task
+        waits until the quarantine ends."""
         able = [
             box
             for box in self._with_ticket(entry, pool.quarantined.values())
@@ -271,9 +276,9 @@
     def _place_suspects(
         self, entry: WaitingStep, suspects: list[Task], pool: Pool, now: float
     ) -> list[Decision]:
-        """Start tasks under which boxes have crashed, each where a crash would tell most.
-        Placed as others are, they take down boxes together, so that jobs that did nothing
-        wrong are given up with them."""
+        """Start tasks under which boxes have crashed, each on the box where another
+        crash is the strongest evidence. If placed like other tasks, they take down
+        boxes together, and jobs that caused no crash are given up with them."""
         if not suspects:
             return []
         effects: list[Decision] = []
@@ -305,7 +310,7 @@
     def _allowed_boxes(
         self, entry: WaitingStep, boxes: t.Collection[BoxView], now: float
     ) -> list[BoxView]:
-        """Leave out boxes that have room and may not be taken."""
+        """Return those of ``boxes``, which all have room, that the step may use."""
         boxes = self._with_ticket(entry, boxes)
         if entry.spec.long_running:
             boxes = self._headroom.allowed_boxes(entry, boxes, now)
@@ -318,13 +323,13 @@
     def _with_ticket(
         self, entry: WaitingStep, boxes: t.Collection[BoxView]
     ) -> list[BoxView]:
-        """Return those of ``boxes`` that may run a step, where that needs advice."""
+        """Return the ``boxes`` that advice allows, or all if the step needs none."""
         if not self._needs_advice(entry):
             return list(boxes)
         return [box for box in boxes if box.incarnation in entry.tickets]
 
     def _is_starved(self, entry: WaitingStep, step: Step, now: float) -> bool:
-        """Say whether a job that fills has had nothing running for too long."""
+        """Return whether a best-effort job has had no task running for too long."""
         if (
             not step.best_effort
             or entry.since is None
@@ -340,8 +345,9 @@
         candidates = list(pool.boxes.values())
         if entry.spec.long_running:
             candidates += pool.quarantined.values()
-        # Which boxes are good for a step does not change. Where none of the roomiest was,
-        # as among idle boxes, the same ones were asked about for ever.
+        # Boxes that advice has rejected for a step stay rejected. Without leaving them
+        # out, the same boxes are asked about for ever if advice rejects all of those
+        # with the most free processor time, as can happen among idle boxes.
         boxes = [box for box in candidates if box.incarnation not in entry.unfit]
         if not boxes:
             entry.unfit.clear()
@@ -354,7 +360,7 @@
     def apply_advice(
         self, asked: AskAdvice, advice: Advice | AdviceUnavailable, now: float
     ) -> list[Decision]:
-        """Apply what came of asking which boxes may run a step."""
+        """Apply the answer to a question which boxes may run a step."""
         name = f"{asked.job}.{asked.occurrence}.{asked.step}"
         if isinstance(advice, AdviceUnavailable):
             return [LogEvent("advice_failed", name, {"reason": advice.reason})]
@@ -363,7 +369,7 @@
             entry.tickets = advice.tickets
             entry.unfit.update(asked.incarnations)
             entry.unfit.difference_update(advice.tickets)
-            # A start takes a while to arrive.
+            # A start must reach its box while the advice is valid.
             valid_s = advice.valid_s * ADVICE_VALIDITY_FACTOR if advice.tickets else 0.0
             entry.advice_until = now + valid_s
         inputs = {"asked": len(asked.incarnations), "good": len(advice.tickets)}
@@ -372,7 +378,7 @@
     def _place_gang(
         self, entry: WaitingStep, step: Step, pool: Pool, now: float
     ) -> list[Decision]:
-        """Place all members or none; they share one run number."""
+        """Place all members of a gang or none; they share one run number."""
         members = entry.workflow.step_tasks(entry.occurrence, entry.step)
         if any(task.state != PENDING for task in members):
             return []
@@ -395,7 +401,7 @@
             task.run, task.checkpoint = run, checkpoint
             task.ticket = entry.tickets.get(box.incarnation, "")
         starts: list[Decision] = [self._start(task, box, now) for task, box in chosen]
-        # Without it the room of these boxes counted as free for what came next.
+        # Without this the room of these boxes counts as free for the next step.
         self._state.index.refresh(now)
         return starts
 
@@ -426,7 +432,7 @@
         )
 
     def move_slowed(self, now: float) -> list[Decision]:
-        """Move a task that is kept slow to where it disturbs nobody."""
+        """Stop a slowed task if a better box is found, so that it starts anew there."""
         if now - self._move_checked_at < MOVE_INTERVAL_S or not self._state.on(
             Mechanism.MOVES
         ):
@@ -456,7 +462,7 @@
         return []
 
     def _should_search(self, task: Task, now: float) -> bool:
-        """Say whether a better box may be found for a slowed task."""
+        """Return whether to search a better box for a slowed task now."""
         least, at = self._failed_searches.get(task.spec.image, (0, -1e9))
         return now - at >= MOVE_RETRY_INTERVAL_S or task.spec.cpu < least
 
--- a/src/granitetrestle/evacuation.py
+++ b/src/granitetrestle/evacuation.py
@@ -1,9 +1,10 @@
-"""Data halls that operators have evacuated: nothing further is sent to their boxes until
-they are taken back. The orders lie in the store under a key for each hall, so a successor
-reads them before its first start, and a hall whose key is gone is in use again.
+"""Evacuated data halls: their boxes get no starts until operators restore the hall.
 
-What runs in such a hall goes on. It is kept apart from a box's own leaving, which has an
-end that is known and from which work must be moved."""
+Operators' directives are stored under one key for each hall, so that a successor reads
+them before its first start; a hall whose key is gone is in use again.
+
+Tasks that run in an evacuated hall go on. Evacuation is distinct from a box that
+leaves, which has a known end before which its tasks must be moved."""
 
 import typing as t
 
@@ -15,15 +16,16 @@
 
 __all__ = ["Evacuation"]
 
-# Orders of operators that were last read so long ago may be out of date: nothing starts
-# until they are read again. One read waits 0.8 s at the store and 1 s for its answer, so a
-# single lost answer does not stop starts, and an order is never missed for longer than
-# half of the shortest bound that a deployment gave (5 s).
+# Nothing starts while operators' directives were last read longer ago than this, as
+# they may be out of date. A read waits 0.8 s at the store and 1 s for its answer, so a
+# single lost answer does not stop starts, and a directive is missed for no longer than
+# half of the shortest limit that is required (5 s).
 MAX_DIRECTIVES_AGE_S: t.Final = 2.5
 
 
 class Evacuation:
-    """Keeps boxes closed whose halls are evacuated."""
+    """Applies operators' directives to boxes, and holds starts while they may be out of
+    date."""
 
     def __init__(self, state: ShardState) -> None:
         self._state = state
@@ -31,15 +33,15 @@
         self._held_since: float | None = None
 
     def record_read(self, now: float) -> None:
-        """Note that all orders given until now are known."""
+        """Record that all directives given until now are known."""
         self._read_at = now
 
     def up_to_date(self, now: float) -> bool:
-        """Say whether starts may rest on what is known of operators' orders."""
+        """Return whether directives were read recently enough for starts."""
         return self._read_at is None or now - self._read_at <= MAX_DIRECTIVES_AGE_S
 
     def report_held_starts(self, now: float) -> list[Decision]:
-        """Note when starts begin or cease to be held back for want of news."""
+        """Report when starts begin or cease to be held for directives out of date."""
         if self.up_to_date(now):
             if self._held_since is None:
                 return []
@@ -56,7 +58,7 @@
     def apply_directives(
         self, directives: t.Iterable[HallDirective], now: float
     ) -> list[Decision]:
-        """Put orders in force, in the order given."""
+        """Apply directives in the order given."""
         effects: list[Decision] = []
         for directive in directives:
             effects += self._apply_directive(directive, now)
@@ -68,9 +70,9 @@
         unread: t.Collection[str],
         now: float,
     ) -> list[Decision]:
-        """Put all orders there are in force: halls without one are in use.
+        """Apply the full set of directives: halls without one are in use.
 
-        :param unread: halls whose order could not be read; they stay as they are.
+        :param unread: halls whose directive could not be read; they stay as they are.
         """
         directives = list(directives)
         evacuated = {directive.hall for directive in directives if directive.evacuated}
@@ -109,7 +111,7 @@
         ]
 
     def _expire_advice(self, closed: frozenset[str], now: float) -> None:
-        """Let steps whose advice named boxes that are closed now be asked about again."""
+        """Expire advice that names closed boxes, so that its steps ask again."""
         for entry in self._state.waiting.values():
             if not closed.isdisjoint(entry.tickets):
                 entry.advice_until = min(entry.advice_until, now)
--- a/src/granitetrestle/headroom.py
+++ b/src/granitetrestle/headroom.py
@@ -1,6 +1,8 @@
-"""Boxes that are kept free of lasting work. Tasks that last take room for minutes; once
-they hold all of it, short work that must reserve room waits for one of them to end.
-How much is kept follows what short work was seen to need."""
+"""Headroom: boxes that are reserved from long-running tasks.
+
+Long-running tasks hold room for minutes. Once they hold all of it, short tasks, which
+must reserve room, wait until one of them ends. How much is reserved follows the need of
+short tasks as observed."""
 
 import abc
 import typing as t
@@ -10,30 +12,29 @@
 
 __all__ = ["Headroom", "ReservedBoxes", "NoHeadroom"]
 
-# Share of a pool kept before any short work was seen, and at most.
+# Share of a pool that is reserved before any short task was observed, and its maximum.
 INITIAL_RESERVED_SHARE: t.Final = 0.08
 MAX_RESERVED_SHARE: t.Final = 0.16
-# What is kept covers the need of short work for this share of the time: while both
-# wait, a core-second of short work is worth several of lasting work.
+# The reserved room covers the need of short tasks for this share of the time: while
+# both wait, a core-second of short tasks is worth several of long-running tasks.
 NEED_QUANTILE: t.Final = 0.85
-# How fast the estimate follows the need, as a share of the pool a second.
+# Rate at which the estimate follows the need, as a share of the pool per second.
 ADAPTATION_SHARE_PER_S: t.Final = 0.02
-# How often what is kept is chosen anew.
 UPDATE_INTERVAL_S: t.Final = 0.3
-# Room that nobody needed for so long is given to lasting work: what has room starts
-# within three seconds, of which looks and writes take up to one.
+# Reserved room that was free for this long is opened to long-running tasks: a task that
+# has room starts within three seconds, of which polls and writes take up to one.
 UNUSED_THRESHOLD_S: t.Final = 1.8
-# Room that is taken for less than this counts as unused throughout: short work comes
-# and goes, and an account sees that there was room nearly all the time.
+# Room that is occupied for no longer than this counts as free throughout: short tasks
+# start and end often, and an account sees that there was room nearly all the time.
 MAX_OCCUPIED_GAP_S: t.Final = 1.2
 
 
 class Headroom(abc.ABC):
-    """Says which boxes lasting work must leave alone."""
+    """Decides which boxes long-running tasks may not use."""
 
     @abc.abstractmethod
     def needs_update(self, now: float) -> bool:
-        """Say whether :meth:`update` should be called now."""
+        """Return whether :meth:`update` should be called now."""
 
     @abc.abstractmethod
     def update(
@@ -42,25 +43,27 @@
         waiting_short_cpu: t.Mapping[str, int],
         now: float,
     ) -> None:
-        """Take up what waits.
+        """Update the choice of boxes.
 
         :param pools: service -> its boxes that are open for work.
-        :param short: service -> thousandths of a core that waiting short work reserves.
+        :param waiting_short_cpu: service -> thousandths of a core that waiting short
+            tasks reserve.
         """
 
     @abc.abstractmethod
     def allowed_boxes(
         self, entry: WaitingStep, boxes: list[BoxView], now: float
     ) -> list[BoxView]:
-        """Return those of ``boxes``, which all have room, where a lasting task may go."""
+        """Return those of ``boxes``, which all have room, that a long-running step may
+        use."""
 
     @abc.abstractmethod
     def is_reserved(self, box: BoxView) -> bool:
-        """Say whether a box is kept free of lasting work now."""
+        """Return whether a box is reserved from long-running tasks now."""
 
 
 class NoHeadroom(Headroom):
-    """Lasting work may go anywhere."""
+    """Baseline: long-running tasks may use any box."""
 
     def needs_update(self, now: float) -> bool:
         """Return false."""
@@ -86,8 +89,8 @@
 
 
 class ReservedBoxes(Headroom):
-    """Keeps whole boxes, so that wide tasks find room in one piece where lasting work
-    takes nearly all of it."""
+    """Reserves whole boxes, so that large short tasks find enough room on one box while
+    long-running tasks hold nearly all of the pool."""
 
     def __init__(self) -> None:
         self._reserved_cpu: dict[str, float] = {}
@@ -95,7 +98,7 @@
         self._updated_at: float | None = None
 
     def needs_update(self, now: float) -> bool:
-        """Say whether the choice is old; it walks over all boxes."""
+        """Return whether the choice is out of date; an update walks over all boxes."""
         return self._updated_at is None or now - self._updated_at >= UPDATE_INTERVAL_S
 
     def update(
@@ -104,7 +107,7 @@
         waiting_short_cpu: t.Mapping[str, int],
         now: float,
     ) -> None:
-        """Choose the boxes that hold least lasting work, as many as needed."""
+        """Choose as many boxes as needed, those with the least long-running work."""
         elapsed_s = 0.0 if self._updated_at is None else now - self._updated_at
         self._updated_at = now
         self._reserved.clear()
@@ -136,8 +139,8 @@
     def allowed_boxes(
         self, entry: WaitingStep, boxes: list[BoxView], now: float
     ) -> list[BoxView]:
-        """Leave kept boxes out, unless there was room for the task that nobody needed for
-        long: its account is promised that it starts then."""
+        """Leave reserved boxes out, unless only they have room and it was free for
+        long: accounts are promised that the task starts then."""
         unreserved = [box for box in boxes if box.incarnation not in self._reserved]
         if unreserved:
             return unreserved
--- a/src/granitetrestle/jobsizes.py
+++ b/src/granitetrestle/jobsizes.py
@@ -1,9 +1,9 @@
-"""What is known of how large the jobs of each queue are: what a job is worth beside
-others of its queue, and whether the largest get their share of the room.
+"""Statistics of job sizes by queue: the value of a job relative to others of its queue,
+and whether large jobs get their share of the room.
 
-The load it answers: for tens of seconds more work that fills comes than there is room
-for. In order of arrival all of it is late; if the job with least left always goes first,
-the largest never start."""
+They serve to order best-effort jobs while more of them are submitted than there is room
+for, which may last tens of seconds. In order of arrival all of them are late; if the
+job with the least work left always goes first, the largest jobs never start."""
 
 import bisect
 import collections
@@ -12,32 +12,35 @@
 
 __all__ = ["JobSizes", "SizeClass"]
 
-# What an account gets of a job: a part that is the same for each, the rest in proportion
-# to its work over the mean of its queue's jobs, with a bound. By the rules that accounts
-# are served under.
+# Value of a job to its account, by the rules under which accounts are served: a fixed
+# part, and a part in proportion to its work over the mean of its queue's jobs, with a
+# maximum for the sum.
 FIXED_VALUE: t.Final = 0.3
 VALUE_PER_MEAN_WORK: t.Final = 0.7
 MAX_VALUE: t.Final = 4.0
-# Part of a queue's jobs below the largest tenth and the fifth beneath it: accounts are
-# promised that each of these is served at least half as often as the queue as a whole.
+# The upper two size classes are the largest tenth of a queue's jobs and the fifth below
+# it: accounts are promised that each of these is served at least half as often as the
+# queue as a whole.
 SIZE_CLASS_QUANTILES: t.Final = (0.7, 0.9)
-# A class that was given less than this part of what the others were, for each job that
-# came, goes first: the half that is promised. With 0.6, jobs completed in time fell by
-# another eighth after an outage, and the largest were served no more often (virtual time).
+# A size class goes first if the share of its submitted jobs that was started is less
+# than this ratio of the queue's share: the half that is promised. With 0.6, an eighth
+# fewer jobs were completed in time after an outage (in virtual time), and the largest
+# were served no more often.
 MIN_SERVICE_RATIO: t.Final = 0.5
-# So many of a queue's newest jobs tell how large they are: twenty of the largest tenth.
+# Sizes are taken from this many of a queue's newest jobs: twenty of the largest tenth.
 MAX_SAMPLE_JOBS: t.Final = 200
-# Below this many jobs of a queue its largest tenth says nothing.
+# With fewer jobs the largest tenth of a queue is not significant.
 MIN_SAMPLE_JOBS: t.Final = 20
-# Jobs that came, and what they were given, are forgotten at this rate. The promise is kept
-# over minutes, so that a short burst takes no room from what can still be in time.
+# Time constant of the exponential decay of submitted and started work. The promise is
+# kept over minutes, so that a short burst takes no room from work that can still be in
+# time.
 DECAY_TIME_S: t.Final = 150.0
 
 
 class SizeClass(t.NamedTuple):
-    """Jobs of one queue between two bounds of size.
+    """Jobs of one queue between two quantiles of size.
 
-    :param rank: 0 for the smallest.
+    :param rank: 0 for the smallest jobs.
     """
 
     queue: str
@@ -78,41 +81,41 @@
 
 
 class JobSizes:
-    """Sizes, values and shares, by queue."""
+    """Sizes of jobs, their values, and the shares that size classes get, by queue."""
 
     def __init__(self) -> None:
         self._queues: dict[str, _QueueSizes] = {}
-        # Jobs that came, and what part of jobs was given room, both fading.
+        # Submitted jobs, and the started part of their work in jobs, both decaying.
         self._submitted: dict[SizeClass, float] = {}
         self._served: dict[SizeClass, float] = {}
         self._decayed_at: float | None = None
         self._underserved: set[SizeClass] = set()
 
     def record_submission(self, queue: str, work: int) -> None:
-        """Take note of a job that came.
+        """Record a job that was submitted.
 
-        :param work: all of it, as estimated.
+        :param work: its whole work as estimated, in millionths of a core-second.
         """
         self._queues.setdefault(queue, _QueueSizes()).add(work)
         size = self.size_class(queue, work)
         self._submitted[size] = self._submitted.get(size, 0.0) + 1.0
 
     def size_class(self, queue: str, work: int) -> SizeClass:
-        """Return the class of a job of so much work."""
+        """Return the size class of a job with this work."""
         known = self._queues.get(queue)
         return SizeClass(queue, known.rank(work) if known is not None else 0)
 
     def value(self, queue: str, work: int) -> float:
-        """Return what a job of so much work is worth, 1 being usual for its queue."""
+        """Return the value of a job with this work; a job of its queue's mean has 1."""
         known = self._queues.get(queue)
         return known.value(work) if known is not None else 1.0
 
     def record_start(self, size: SizeClass, share: float) -> None:
-        """Count a part of a job's work as given room."""
+        """Count a share of a job's work as started."""
         self._served[size] = self._served.get(size, 0.0) + share
 
     def update_shares(self, now: float) -> None:
-        """Work out which classes are behind."""
+        """Decay the counts and determine which size classes are underserved."""
         elapsed_s = 0.0 if self._decayed_at is None else now - self._decayed_at
         decay = math.exp(-elapsed_s / DECAY_TIME_S)
         self._decayed_at = now
@@ -135,5 +138,5 @@
         }
 
     def is_underserved(self, size: SizeClass) -> bool:
-        """Say whether a class was given too little beside the others of its queue."""
+        """Return whether a size class gets too little compared with its whole queue."""
         return size in self._underserved
--- a/src/granitetrestle/longrunningwaits.py
+++ b/src/granitetrestle/longrunningwaits.py
@@ -1,7 +1,8 @@
-"""Says why lasting tasks wait for a box. Accounts are promised that such a task runs
-again within six seconds while there is room for it; one that does not has waited for one
-of many causes, which can't be told apart afterwards, so that each is named while it
-holds."""
+"""Reports why long-running tasks wait for a box.
+
+Accounts are promised that such a task runs again within six seconds while there is room
+for it. A task that waits longer does so for one of many causes, which can't be
+distinguished afterwards, so that each cause is logged while it applies."""
 
 import collections
 import enum
@@ -16,48 +17,51 @@
 
 __all__ = ["LongRunningWaits", "WaitCause"]
 
-# Waits that are shorter are usual: a look, a write and an order take up to one second.
+# Shorter waits are normal: a poll, a write and a command take up to one second.
 REPORT_THRESHOLD_S: t.Final = 3.0
-# How often waits are told, and how many at a time, the longest first.
 REPORT_INTERVAL_S: t.Final = 2.0
+# Maximum number of waits in a report, the longest first.
 MAX_REPORTS: t.Final = 6
-# To tell why a step waits looks at all boxes, 3 to 6 us each. So many are looked at for
-# all steps together, but for one step in any case; and where there are more, more seldom.
+# Finding the cause for a step examines all boxes, which takes 3 to 6 us each. A report
+# examines up to this many for all steps together, but explains one step in any case; a
+# shard with more boxes reports less often.
 MAX_BOXES_EXAMINED: t.Final = 6000
 REPORT_INTERVAL_PER_BOX_S: t.Final = 0.001
-# A step that no pass has looked at for so long is not reached by them.
+# A step that no pass has visited for this long is not reached by the passes.
 UNREACHED_THRESHOLD_S: t.Final = 0.5
 
 
 class WaitCause(enum.StrEnum):
-    """What a lasting task waits for."""
+    """Why a long-running task waits."""
 
-    # Its box is silent, or not listed any more, and may run it until its lease is over.
+    # Its box is silent or no longer listed, and may run the task until its lease ends.
     LEASE = "lease"
-    # Operators' orders are not known of late, or no pass comes so far in the order.
+    # Operators' directives may be out of date, or no pass gets this far in the order.
     UNREACHED = "unreached"
-    # No box of its service answers, is listed and stays.
+    # No box of its service answers, is listed and is not leaving.
     NO_BOX = "no_box"
-    # The advice service has named none of the open boxes, or not answered yet.
+    # The advice service has named none of the open boxes, or has not answered yet.
     ADVICE = "advice"
-    # No box may run it by its labels.
+    # No box has the labels that the task requires.
     LABELS = "labels"
-    # No box has unreserved processor time, or memory, enough.
+    # No box has enough unreserved processor time.
     CPU = "cpu"
+    # No box has enough unreserved memory.
     MEMORY = "memory"
-    # Boxes with room have as many tasks of its step as they may.
+    # Boxes with room run the maximum number of tasks of its step already.
     PER_BOX = "per_box"
-    # The only boxes with room fail what they start, or are in evacuated data halls.
+    # The only boxes with room are quarantined, as runs there keep failing.
     QUARANTINE = "put_aside"
+    # The only boxes with room are in evacuated data halls.
     EVACUATED = "evacuated"
-    # Boxes with room are kept for short work.
+    # The only boxes with room are reserved for short tasks.
     RESERVED = "kept"
-    # A box may take it: it starts with the next pass.
+    # A box can take the task: it starts in the next pass.
     NONE = "none"
 
 
-# What rules boxes out, from what is seen first; the last of them that rules one out is
-# what a task waits for.
+# Causes that exclude boxes, in the order of the checks. The last one that excludes a
+# box is what a task waits for.
 EXCLUSION_CAUSES: t.Final = (
     WaitCause.NO_BOX,
     WaitCause.ADVICE,
@@ -73,9 +77,9 @@
 
 
 class LongRunningWaits:
-    """Tells of lasting work that waits for long.
+    """Logs and counts long-running tasks that have waited for long.
 
-    :ivar causes: cause -> how many tasks have waited for long, as last told.
+    :ivar causes: cause -> number of such tasks, as of the last report.
     """
 
     def __init__(self, state: ShardState) -> None:
@@ -90,11 +94,11 @@
         inherited_ends: t.Callable[[str], float],
         now: float,
     ) -> t.Iterator[LogEvent]:
-        """Note why lasting work has waited for long, every few seconds.
+        """Report every few seconds why long-running tasks have waited for long.
 
-        :param most_starts: how many orders the pass may give.
-        :param inherited_ends: when no lease that a predecessor gave a box can run any
-            more, by its life.
+        :param max_starts: limit of starts in the pass.
+        :param inherited_ends: maps the incarnation of a box to the time when the last
+            lease that a predecessor may have given it ends.
         """
         boxes = max(1, len(self._state.boxes))
         if now - self._reported_at < max(
@@ -129,7 +133,7 @@
     def _count_exclusions(
         self, entry: WaitingStep, headroom: Headroom, now: float
     ) -> dict[WaitCause, int]:
-        """Return how many boxes each cause rules out, after those before it."""
+        """Return how many boxes each cause excludes that no earlier cause excluded."""
         counts = dict.fromkeys(EXCLUSION_CAUSES, 0)
         service = self._state.service_of(entry.workflow)
         tickets = entry.tickets if self._needs_advice(entry) else None
@@ -210,7 +214,7 @@
     headroom: Headroom,
     now: float,
 ) -> WaitCause:
-    """Return the first cause for which a box does not take a task of a step.
+    """Return the first cause that excludes a box for a step.
 
     :param tickets: the boxes that advice names, if the step needs it.
     """
@@ -231,7 +235,7 @@
 def _closing_cause(
     entry: WaitingStep, box: BoxView, headroom: Headroom, now: float
 ) -> WaitCause:
-    """Return the first cause for which a box that has room does not take a task."""
+    """Return the first cause that excludes a box that has room."""
     task = next(iter(entry.tasks.values()), None)
     if task is not None and not suits(entry.spec, task, box):
         return WaitCause.PER_BOX
@@ -243,7 +247,7 @@
 
 
 def _seconds_since(at: float, now: float) -> float | None:
-    """Return how long ago something was, or ``None`` if it never was."""
+    """Return the seconds since a time, or ``None`` if ``at`` is not set."""
     return round(now - at, 2) if at > 0.0 else None
 
 
--- a/src/granitetrestle/mechanisms.py
+++ b/src/granitetrestle/mechanisms.py
@@ -1,5 +1,5 @@
-"""The parts of the policy that can be switched off from outside, one by one, so that
-what each is worth can be measured on the code that ships."""
+"""The mechanisms of the scheduling policy that can be switched off one by one, so that
+the benefit of each can be measured on the code that ships."""
 
 import enum
 
@@ -9,46 +9,47 @@
 
 
 class Mechanism(enum.StrEnum):
-    """A part of the policy; what is done without it stands behind the dash."""
+    """A mechanism of the policy. Each comment says what it does, and after "Off:" what
+    happens without it."""
 
-    # Boxes are kept free for short work - lasting work may take all room.
+    # Boxes are reserved for short tasks. Off: long-running tasks may take all room.
     HEADROOM = "headroom"
-    # Serving tasks and what fills are kept apart - the first box with room.
+    # Serving and best-effort tasks are kept apart. Off: the first box with room.
     PACKING = "packing"
-    # Serving tasks of one image share boxes - each goes to the fullest box.
+    # Serving tasks of one image share boxes. Off: each task goes to the fullest box.
     GROUPING = "grouping"
-    # Boxes are looked at when they changed, once for a step - all of them for each task.
+    # Only changed boxes are examined, once for a step. Off: all boxes for each task.
     INDEX = "index"
-    # Orders wait their turn where answers take long - all are sent at once.
+    # Commands are queued while answers take long. Off: all are sent at once.
     COMMAND_WINDOW = "order_window"
-    # What disturbs serving tasks is slowed - everything runs at full pace.
+    # Tasks that disturb serving tasks are slowed. Off: every task runs at full pace.
     PACING = "pacing"
-    # Slowed tasks are moved to better boxes - they stay.
+    # Slowed tasks are moved to better boxes. Off: they stay.
     MOVES = "moves"
-    # Strengths of pairs of images are learnt - every pair is taken as unknown.
+    # Sensitivities of pairs of images are learnt. Off: every pair counts as unknown.
     LEARNT_SENSITIVITIES = "learnt_strengths"
-    # Idle tails are learnt by image - all are taken for the prior.
+    # Unloaded tail latencies are learnt by image. Off: the prior stands for all images.
     LEARNT_UNLOADED_TAILS = "learnt_tails"
-    # Loads of serving tasks are followed with their trend - by level alone.
+    # Loads of serving tasks are estimated with their trend. Off: by level alone.
     LOAD_TREND = "load_trend"
-    # Boxes that fail what they start are put aside - they stay in use.
+    # Boxes where runs keep failing are quarantined. Off: they stay in use.
     QUARANTINE = "put_aside"
-    # The smaller jobs that fill go first, late ones last - first come, first served.
+    # Smaller best-effort jobs go first, late ones last. Off: first come, first served.
     URGENCY = "urgency"
-    # Jobs that fill go by their value for the work that is left - the least left first.
+    # Best-effort jobs go by value for the work left. Off: the least work left first.
     VALUE = "value"
-    # The largest jobs that fill are not left behind the others - they wait.
+    # The largest best-effort jobs get their share of starts. Off: they wait.
     SIZE_SHARES = "size_shares"
-    # What is too late to be of use waits behind what is late - they count alike.
+    # Work that is too late to be of use goes after late work. Off: both count alike.
     TOO_LATE_LAST = "too_late_last"
-    # Refused clients come back at steady intervals - the longer the store is away the later.
+    # Refused clients retry at steady intervals. Off: intervals grow with the outage.
     STEADY_RETRIES = "steady_returns"
 
 
 def parse_switched_off(text: str) -> frozenset[Mechanism]:
-    """Return the mechanisms named in ``text``, which ``+``, commas or blanks part.
+    """Return the mechanisms named in ``text``, separated by ``+``, commas or blanks.
 
-    :raises UnknownMechanism: naming each unknown word, and the known ones.
+    :raises UnknownMechanism: naming the unknown words and the known ones.
     """
     words = text.replace("+", " ").replace(",", " ").split()
     known = {mechanism.value: mechanism for mechanism in Mechanism}
--- a/src/granitetrestle/waitingorder.py
+++ b/src/granitetrestle/waitingorder.py
@@ -1,6 +1,7 @@
-"""In which order tasks that wait are placed when there is room for some of them. The
-loads it answers: a burst of wide jobs on a full system, and the time after an outage, when
-much is late already and more comes."""
+"""The order in which waiting tasks are placed while there is not room for all of them.
+
+It is meant for bursts of wide jobs on a full system, and for the time after an outage,
+when many jobs are late already and more are submitted."""
 
 import abc
 import typing as t
@@ -17,32 +18,34 @@
 LATE: t.Final = 1
 TOO_LATE: t.Final = 2
 
-# Priority, lateness, whether its size is not left behind, and what decides then.
+# Priority, lateness, whether its size class is served enough, and the remaining
+# criterion: the time of arrival, the latest start in time, or the work left over the
+# job's value.
 SortKey: t.TypeAlias = tuple[int, int, bool, float]
 
 
 class WaitingOrder(abc.ABC):
-    """Orders steps that wait."""
+    """Orders waiting steps."""
 
     @abc.abstractmethod
     def record_submission(self, workflow: Workflow) -> None:
-        """Take note of a job that came, or that a predecessor left."""
+        """Record a job that was submitted, or was read from a predecessor's records."""
 
     @abc.abstractmethod
     def start_pass(self, now: float) -> None:
-        """Prepare for a pass over what waits."""
+        """Prepare for a pass over the waiting steps."""
 
     @abc.abstractmethod
     def record_start(self, task: Task) -> None:
-        """Take note of a task that was given a box."""
+        """Record a task that was assigned to a box."""
 
     @abc.abstractmethod
     def sort_key(self, entry: WaitingStep, now: float) -> SortKey:
-        """Return what to sort by; the least goes first."""
+        """Return the key to sort by, in ascending order."""
 
 
 class ByArrival(WaitingOrder):
-    """Baseline: by the queue's priority, then first come, first served."""
+    """Baseline: by queue priority, then first come, first served."""
 
     def record_submission(self, workflow: Workflow) -> None:
         """See :meth:`WaitingOrder.record_submission`."""
@@ -59,14 +62,17 @@
 
 
 class ByUrgency(WaitingOrder):
-    """By the queue's priority; then what can still be in time, then what is late, then
-    what is too late to be of use, which is still run. Among the first, what must start
-    soonest; of what fills, which is short of room for long, the job that is worth most
-    for the work left of it, but first those of a size that was left behind.
-
-    :param too_late_last: whether the third class is told from the second.
-    :param by_value: whether a job's worth counts; else the least left goes first.
-    :param size_shares: whether sizes that were left behind go first.
+    """By queue priority, then by lateness, then by urgency or value.
+
+    Work that can still be in time goes first, then late work, then work that is too
+    late to be of use, which is still run. Within these classes the step that must start
+    soonest goes first. Best-effort jobs may lack room for long: of them the job with
+    the highest value for the work left goes first, after those of underserved size
+    classes.
+
+    :param too_late_last: whether work that is too late goes after work that is late.
+    :param by_value: whether a job's value counts; else the least work left goes first.
+    :param size_shares: whether underserved size classes go first.
     """
 
     def __init__(self, too_late_last: bool, by_value: bool, size_shares: bool) -> None:
@@ -123,8 +129,8 @@
 
 
 def count_waiting_tasks(entries: t.Iterable[WaitingStep], now: float) -> dict[str, int]:
-    """Return how many tasks wait, by class of work, by how late they are, and how many
-    are suspected of crashing boxes."""
+    """Return how many tasks wait: by class of work, by lateness, and those suspected of
+    crashing boxes."""
     kinds = ("short", "fills", "lasting", "late", "too_late", "suspected")
     waiting = dict.fromkeys(kinds, 0)
     for entry in entries:
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -102,8 +102,8 @@
         (
             (
                 "dispatch.py",
-                "if box is None and step.long_running and pool.quarantined",
-                "if False",
+                "                box is None\n                and step.long_running\n",
+                "                False\n",
             ),
         ),
         "native_policy",
