--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -23,14 +23,14 @@
 URGENT = Step(count=1, cpu=10, memory_mb=1, estimate_ms=100)
 
 
-class Orders:
+class LimitedScheduler:
     """A decider that may give few orders in each pass, while urgent work keeps coming."""
 
     def __init__(self, boxes, max_starts):
         self.now = 0.0
         self.most = max_starts
         self.jobs = 0
-        self.begun = {}
+        self.started_at = {}
         self.scheduler = Scheduler(TERMS, 0.0)
         self.scheduler.configured(CONFIG)
         self.scheduler.evacuation.record_read(0.0)
@@ -48,22 +48,22 @@
         self.scheduler.called(f"r{job}", SubmitJob(submission), self.now)
         return job
 
-    def go_on(self, passes):
+    def run_passes(self, passes):
         for _ in range(passes):
             self.now += PASS_S
             self.scheduler.evacuation.record_read(self.now)
             for _ in range(2 * self.most):
                 self.submit(URGENT)
             wall_ms = int(self.now * 1000)
-            for order in self.scheduler.decide(self.now, wall_ms, self.most):
-                if isinstance(order, StartTask):
-                    self.start(order)
+            for decision in self.scheduler.decide(self.now, wall_ms, self.most):
+                if isinstance(decision, StartTask):
+                    self.start(decision)
 
-    def start(self, order):
-        self.begun.setdefault(order.task.split(".")[0], self.now)
-        taken = CommandAccepted(100)
+    def start(self, decision):
+        self.started_at.setdefault(decision.task.split(".")[0], self.now)
+        accepted = CommandAccepted(100)
         self.scheduler.start_answered(
-            order.incarnation, order.task, order.run, taken, self.now
+            decision.incarnation, decision.task, decision.run, accepted, self.now
         )
 
 
@@ -86,39 +86,39 @@
 @given(
     "{boxes:d} boxes with room, and {most:d} orders in each pass for more urgent work"
 )
-def orders(context, boxes, most):
-    context.orders = Orders(boxes, most)
+def limited(context, boxes, most):
+    context.limited = LimitedScheduler(boxes, most)
 
 
 @when(
     "a job that fits nowhere waits for {seconds:g} seconds, and {count:d} others after it"
 )
 def fits_nowhere(context, seconds, count):
-    work = context.orders
-    work.submit(HUGE)
-    work.go_on(1)
-    context.waiting = [work.submit(WIDE) for _ in range(count)]
-    work.go_on(round(seconds / PASS_S))
+    limited = context.limited
+    limited.submit(HUGE)
+    limited.run_passes(1)
+    context.waiting = [limited.submit(WIDE) for _ in range(count)]
+    limited.run_passes(round(seconds / PASS_S))
 
 
 @when("{count:d} jobs wait for {seconds:g} seconds")
 def jobs_wait(context, count, seconds):
-    work = context.orders
-    context.waiting = [work.submit(WIDE) for _ in range(count)]
-    work.go_on(round(seconds / PASS_S))
+    limited = context.limited
+    context.waiting = [limited.submit(WIDE) for _ in range(count)]
+    limited.run_passes(round(seconds / PASS_S))
 
 
 @then("each of the others has begun")
 @then("each of them has begun")
-def each_has_begun(context):
-    begun = context.orders.begun
-    missing = [job for job in context.waiting if job not in begun]
+def each_has_started(context):
+    started_at = context.limited.started_at
+    missing = [job for job in context.waiting if job not in started_at]
     assert not missing, (len(missing), len(context.waiting))
 
 
 @then("{part:g} of the orders went to what is more urgent")
 def rest_is_urgent(context, part):
-    work = context.orders
-    starts = sum(job not in context.waiting for job in work.begun)
-    passes = round(work.now / PASS_S)
-    assert starts >= part * passes * work.most, (starts, passes * work.most)
+    limited = context.limited
+    starts = sum(job not in context.waiting for job in limited.started_at)
+    passes = round(limited.now / PASS_S)
+    assert starts >= part * passes * limited.most, (starts, passes * limited.most)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -16,7 +16,7 @@
 from random_shard import crashes_among_others
 
 SHORT = Step(count=3, cpu=500, memory_mb=10)
-LASTING = Step(count=4, cpu=500, memory_mb=10, long_running=True)
+LONG_RUNNING = Step(count=4, cpu=500, memory_mb=10, long_running=True)
 
 
 def notes(context, event):
@@ -34,11 +34,11 @@
 )
 def crash_beside_long_job(context):
     world = context.world
-    lasting = Step(count=3, cpu=500, memory_mb=10, long_running=True, per_box=1)
-    context.long = world.submit((lasting,))
+    long_running = Step(count=3, cpu=500, memory_mb=10, long_running=True, per_box=1)
+    context.long = world.submit((long_running,))
     world.advance(6.0)
-    context.bad = world.submit((Step(count=1, cpu=500, memory_mb=10),))
-    world.box_crashes.crashing.add(f"{context.bad}.0.0.0")
+    context.culprit = world.submit((Step(count=1, cpu=500, memory_mb=10),))
+    world.box_crashes.crashing.add(f"{context.culprit}.0.0.0")
     world.advance(1.5)
 
 
@@ -49,22 +49,22 @@
         line.subject: line.inputs for line in lines if line.inputs["box"] == box.subject
     }
     assert len(lost) == box.inputs["tasks_lost"] == 2, lines
-    bad = lost.pop(f"{context.bad}.0.0.0")
+    culprit = lost.pop(f"{context.culprit}.0.0.0")
     (other,) = lost.values()
-    assert bad["run"] == 1 and bad["state"] == "running", bad
-    assert bad["seen_s"] < 0.2 and bad["silent_after_s"] < 1.1, bad
+    assert culprit["run"] == 1 and culprit["state"] == "running", culprit
+    assert culprit["seen_s"] < 0.2 and culprit["silent_after_s"] < 1.1, culprit
     assert other["seen_s"] > 2.5, other
 
 
 @given("a shard of {boxes:d} boxes among models, at work for several accounts")
 def shard_at_work(context, boxes):
     context.world = world = ShardWorld(7, boxes)
-    context.long_running = [world.submit((LASTING,)) for _ in range(2)]
+    context.long_running = [world.submit((LONG_RUNNING,)) for _ in range(2)]
     context.others = list(context.long_running)
     world.advance(8.0)
 
 
-def decider_dies(world):
+def leader_dies(world):
     world.kill()
     world.advance(0.5)
     world.take_over()
@@ -79,18 +79,18 @@
 
 AFTER_CRASH = {
     "one process decides": None,
-    "the decider dies after each crash": decider_dies,
+    "the decider dies after each crash": leader_dies,
     "its starts are never answered": None,
     "all lose power after each crash": all_lose_power,
 }
 
 
-@when("a task that crashes its box is handed in, and {what} for {seconds:g} seconds")
-def crashing_task(context, what, seconds):
+@when("a task that crashes its box is handed in, and {fault} for {seconds:g} seconds")
+def crashing_task(context, fault, seconds):
     world = context.world
-    world.box_crashes.unanswered = what == "its starts are never answered"
-    context.bad = world.submit((Step(count=1, cpu=500, memory_mb=10),))
-    context.task = f"{context.bad}.0.0.0"
+    world.box_crashes.unanswered = fault == "its starts are never answered"
+    context.culprit = world.submit((Step(count=1, cpu=500, memory_mb=10),))
+    context.task = f"{context.culprit}.0.0.0"
     world.box_crashes.crashing.add(context.task)
     ends, crashes = world.now + seconds, 0
     context.broken = None
@@ -100,11 +100,11 @@
             if int(world.now * 10) % 5 == 0:
                 context.others.append(world.submit((SHORT,)))
             if (
-                AFTER_CRASH[what]
+                AFTER_CRASH[fault]
                 and world.box_crashes.counts.get(context.task, 0) > crashes
             ):
                 crashes = world.box_crashes.counts[context.task]
-                AFTER_CRASH[what](world)
+                AFTER_CRASH[fault](world)
     except PromiseBroken as error:
         context.broken = error
 
@@ -115,7 +115,7 @@
     crashes = world.box_crashes.counts.get(context.task, 0)
     assert 2 <= crashes <= most, (crashes, context.broken)
     assert context.broken is None, context.broken
-    job = world.leader.scheduler.state.workflows[context.bad]
+    job = world.leader.scheduler.state.workflows[context.culprit]
     assert job.state == "failed", job.state
 
 
@@ -142,17 +142,17 @@
     "a box crashes, another life answers at its address, and its entry stays for "
     "{seconds:g} seconds"
 )
-def ended_life_stays_listed(context, seconds):
+def ended_incarnation_stays_listed(context, seconds):
     world = context.world
-    gone = sorted(world.entries)[0]
-    entry = world.entries[gone]
+    ended = sorted(world.entries)[0]
+    entry = world.entries[ended]
     world.crash_box(0)
-    world.entries[gone] = entry
+    world.entries[ended] = entry
     world.advance(seconds)
-    del world.entries[gone]
+    del world.entries[ended]
     world.advance(0.5)
-    context.gone = gone
-    context.again = next(
+    context.ended = ended
+    context.successor = next(
         incarnation
         for incarnation, e in world.entries.items()
         if e.address == entry.address
@@ -162,11 +162,13 @@
 @then("it is known to have ended once, and its successor gets work")
 def ended_once(context):
     world = context.world
-    ends = [note for note in notes(context, "box_over") if note.subject == context.gone]
+    ends = [
+        note for note in notes(context, "box_over") if note.subject == context.ended
+    ]
     assert len(ends) == 1, ends
     world.submit((Step(count=3, cpu=3000, memory_mb=10),))
     world.advance(0.5)
-    assert world.boxes[context.again].history
+    assert world.boxes[context.successor].history
 
 
 def box_of(world, task):
@@ -181,7 +183,7 @@
     "a task starts, and its box and {others:d} others crash {after_s:g} seconds later, "
     "{times:d} times in a row"
 )
-def waves(context, others, after_s, times):
+def crash_in_waves(context, others, after_s, times):
     world = context.world
     world.advance(0.5)
     context.job = world.submit((Step(count=1, cpu=500, memory_mb=10),))
@@ -206,8 +208,8 @@
 def crashing_among_lost(context):
     world = context.world
     world.advance(0.5)
-    context.bad = world.submit((Step(count=1, cpu=500, memory_mb=10),))
-    context.task = f"{context.bad}.0.0.0"
+    context.culprit = world.submit((Step(count=1, cpu=500, memory_mb=10),))
+    context.task = f"{context.culprit}.0.0.0"
     world.box_crashes.crashing.add(context.task)
     context.broken = None
     try:
@@ -289,8 +291,8 @@
 @when("a box crashes on which {count:d} tasks of {jobs:d} lasting jobs have just begun")
 def box_of_many(context, count, jobs):
     world = context.world
-    lasting = Step(count=1, cpu=200, memory_mb=10, long_running=True)
-    context.jobs = [world.submit((lasting,)) for _ in range(jobs)]
+    long_running = Step(count=1, cpu=200, memory_mb=10, long_running=True)
+    context.jobs = [world.submit((long_running,)) for _ in range(jobs)]
     world.advance(0.2)
     scheduler = world.leader.scheduler
     incarnations = {
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -30,7 +30,7 @@
     desk.submit("job", LARGE)
 
 
-def wait_for_put_aside(desk):
+def wait_for_quarantine(desk):
     for box in desk.scheduler.state.boxes.values():
         box.closed_until = desk.now + 60.0
     desk.submit("job", SERVING)
@@ -67,7 +67,7 @@
 REASONS = {
     "processor time": wait_for_processors,
     "memory": wait_for_memory,
-    "boxes that fail what they start": wait_for_put_aside,
+    "boxes that fail what they start": wait_for_quarantine,
     "evacuated data halls": wait_for_hall,
     "the lease of a silent box": wait_for_lease,
     "a box that a predecessor used": wait_for_predecessor,
@@ -76,7 +76,7 @@
 
 
 @given("four boxes of 64 cores, where lasting work waits for {reason}")
-def lasting_work_waits(context, reason):
+def long_running_tasks_wait(context, reason):
     context.desk = Desk(4, OFF)
     REASONS[reason](context.desk)
 
@@ -88,7 +88,7 @@
 
 
 @then("every 2 seconds from 3 on it is told that it waits for {cause}")
-def cause_told(context, cause):
+def cause_reported(context, cause):
     notes = [note for note in context.desk.notes if note.event == "lasting_waits"]
     causes = [note.inputs["cause"] for note in notes]
     assert 1 <= len(causes) <= 3 and set(causes) == {cause}, notes
@@ -104,7 +104,7 @@
         self.desk = Desk(1, OFF)
         self.fails = True
         self.long_running = self.desk.submit("lasting", ONE)
-        self.lasting_starts = []
+        self.long_running_starts = []
         self.short_starts = []
         self._seen = set()
         self._jobs = 0
@@ -113,7 +113,9 @@
         if (task.name, task.run) not in self._seen:
             self._seen.add((task.name, task.run))
             starts = (
-                self.lasting_starts if task.spec.long_running else self.short_starts
+                self.long_running_starts
+                if task.spec.long_running
+                else self.short_starts
             )
             starts.append(self.desk.now)
 
@@ -182,23 +184,23 @@
 def fails_for(context, seconds):
     failing = context.failing
     failing.submit_short(40)
-    failing.lasting_starts.clear()
-    context.asides = []
+    failing.long_running_starts.clear()
+    context.quarantined_steps = []
     for _ in range(round(seconds / 0.1)):
         closed = not context.box.open_for_work(failing.desk.now)
-        starts = len(failing.short_starts), len(failing.lasting_starts)
+        starts = len(failing.short_starts), len(failing.long_running_starts)
         failing.step()
         if closed and not context.box.open_for_work(failing.desk.now):
-            now = len(failing.short_starts), len(failing.lasting_starts)
-            context.asides.append((now[0] - starts[0], now[1] - starts[1]))
+            now = len(failing.short_starts), len(failing.long_running_starts)
+            context.quarantined_steps.append((now[0] - starts[0], now[1] - starts[1]))
     failing.fails = False
 
 
 @then("meanwhile it was tried there at most once every 2 seconds, and no short job was")
 def tried_seldom(context):
-    assert not any(short for short, _ in context.asides)
-    tried = sum(lasting for _, lasting in context.asides)
-    assert tried <= len(context.asides) * 0.1 / 2.0 + 1, tried
+    assert not any(short for short, _ in context.quarantined_steps)
+    tried = sum(lasting for _, lasting in context.quarantined_steps)
+    assert tried <= len(context.quarantined_steps) * 0.1 / 2.0 + 1, tried
 
 
 @then("the lasting task runs there for good within {seconds:g} seconds more")
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -29,19 +29,19 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 
-CLIENTS, TRIES, WAY_S = 4000, 5, 0.02
+CLIENTS, MAX_TRIES, ROUND_TRIP_S = 4000, 5, 0.02
 
 
-def play_outage(policy, outage_s):
+def simulate_outage(policy, outage_s):
     """Return which share of the clients is accepted, and their mean wait."""
     waits = []
     for number in range(CLIENTS):
-        came = at = outage_s * number / CLIENTS
-        for _ in range(TRIES):
+        arrived_at = at = outage_s * number / CLIENTS
+        for _ in range(MAX_TRIES):
             if at >= outage_s:
-                waits.append(at - came)
+                waits.append(at - arrived_at)
                 break
-            at += policy.after_s(at) + WAY_S
+            at += policy.after_s(at) + ROUND_TRIP_S
     return 100.0 * len(waits) / CLIENTS, sum(waits) / len(waits)
 
 
@@ -53,15 +53,18 @@
 @when(
     "each is told when to come back as shipped, and as with steady_returns switched off"
 )
-def both_ways(context):
-    context.shipped = play_outage(SteadyRetries(), context.outage)
-    context.plain = play_outage(FollowingOutage(), context.outage)
+def retry_both_ways(context):
+    context.shipped = simulate_outage(SteadyRetries(), context.outage)
+    context.baseline = simulate_outage(FollowingOutage(), context.outage)
 
 
 @then("as shipped at least {share:g} in 100 are accepted, and no fewer")
 def accepted(context, share):
     assert context.shipped[0] >= share, context.shipped
-    assert context.shipped[0] >= context.plain[0], (context.shipped, context.plain)
+    assert context.shipped[0] >= context.baseline[0], (
+        context.shipped,
+        context.baseline,
+    )
 
 
 @then(
@@ -69,10 +72,13 @@
 )
 def waited(context, wait):
     assert context.shipped[1] <= wait, context.shipped
-    assert context.shipped[1] <= context.plain[1], (context.shipped, context.plain)
+    assert context.shipped[1] <= context.baseline[1], (
+        context.shipped,
+        context.baseline,
+    )
 
 
-class Shard:
+class SimulatedShard:
     """A decider and boxes that obey at once, of which each runs a few tasks that fill."""
 
     CPU, TASK_CPU, TASK_S = 8000, 2000, 1.0
@@ -121,10 +127,10 @@
             best_effort=True,
         )
         call = SubmitJob(Submission(job, "q", "pool", "s", (step,)))
-        self.take(self.scheduler.called(job, call, self.now))
+        self.apply(self.scheduler.called(job, call, self.now))
         self.jobs[job] = self.now
 
-    def take(self, decisions):
+    def apply(self, decisions):
         for decision in decisions:
             if isinstance(decision, StartTask):
                 self.running[decision.incarnation][decision.task] = decision.run
@@ -135,7 +141,7 @@
                     decision.run,
                 )
                 heapq.heappush(self.ends, end)
-                self.take(
+                self.apply(
                     self.scheduler.start_answered(
                         decision.incarnation,
                         decision.task,
@@ -156,7 +162,7 @@
         )
         poll = PollResult(int(self.now * 1000), rows, tuple(self.ended[incarnation]))
         self.scheduler.fleet.plan_poll(incarnation, self.now, True)
-        self.take(
+        self.apply(
             self.scheduler.fleet.poll_answered(incarnation, self.now, self.now, poll)
         )
 
@@ -172,7 +178,7 @@
         for incarnation in self.running:
             self.poll(incarnation)
         if decide:
-            self.take(self.scheduler.decide(self.now, 0, self.max_starts))
+            self.apply(self.scheduler.decide(self.now, 0, self.max_starts))
 
     def in_time(self, times=1.0):
         """How many jobs were completed within so many times their objective."""
@@ -192,11 +198,11 @@
 def held_up(context, boxes, s):
     context.shards = []
     for off in ((), (Mechanism.TOO_LATE_LAST,)):
-        shard = Shard(boxes, *off)
-        draw = random.Random(5)
+        shard = SimulatedShard(boxes, *off)
+        rng = random.Random(5)
         for _ in range(round(s * 10)):
-            if draw.random() < 0.3:
-                shard.submit(draw.choice((8, 12, 20)))
+            if rng.random() < 0.3:
+                shard.submit(rng.choice((8, 12, 20)))
             shard.tick(decide=False)
         context.shards.append(shard)
     context.held_up = list(context.shards[0].jobs)
@@ -205,12 +211,12 @@
 @when("new ones come that need {share:g} of the room, for {s:g} seconds")
 def new_ones(context, share, s):
     for shard in context.shards:
-        draw = random.Random(6)
+        rng = random.Random(6)
         room = share * len(shard.running) * shard.CPU / shard.TASK_CPU / shard.TASK_S
         for _ in range(round(s * 10)):
             left = room / 10.0
-            while left > 0 and draw.random() < 0.9:
-                tasks = draw.choice((8, 12, 20, 30))
+            while left > 0 and rng.random() < 0.9:
+                tasks = rng.choice((8, 12, 20, 30))
                 shard.submit(tasks)
                 left -= tasks
             shard.tick()
@@ -222,10 +228,10 @@
 def burst_of_jobs(context, boxes, count, tasks):
     context.shards = []
     for off in ((), (Mechanism.URGENCY,)):
-        shard = Shard(boxes, *off)
-        draw = random.Random(7)
+        shard = SimulatedShard(boxes, *off)
+        rng = random.Random(7)
         for _ in range(count):
-            shard.submit(draw.choice((4, 8, 20, 60, 120)))
+            shard.submit(rng.choice((4, 8, 20, 60, 120)))
         for _ in range(80):
             shard.tick()
         context.shards.append(shard)
@@ -235,20 +241,20 @@
     "at least {factor:g} times as many are completed in time as with {off} switched off"
 )
 def more_in_time(context, factor, off):
-    shipped, plain = (shard.in_time() for shard in context.shards)
-    assert plain > 0 and shipped >= factor * plain, (shipped, plain)
+    shipped, baseline = (shard.in_time() for shard in context.shards)
+    assert baseline > 0 and shipped >= factor * baseline, (shipped, baseline)
 
 
 @then("at least {factor:g} times as many are of use as with {off} switched off")
 def more_of_use(context, factor, off):
-    shipped, plain = (shard.in_time(3.0) for shard in context.shards)
-    assert plain > 0 and shipped >= factor * plain, (shipped, plain)
+    shipped, baseline = (shard.in_time(3.0) for shard in context.shards)
+    assert baseline > 0 and shipped >= factor * baseline, (shipped, baseline)
 
 
 @then("no fewer are completed in time")
 def no_fewer(context):
-    shipped, plain = (shard.in_time() for shard in context.shards)
-    assert shipped >= plain, (shipped, plain)
+    shipped, baseline = (shard.in_time() for shard in context.shards)
+    assert shipped >= baseline, (shipped, baseline)
 
 
 @then("every job that was held up is completed in the end")
@@ -274,7 +280,7 @@
     "and a job of 20 tasks from long ago"
 )
 def few_orders(context, boxes, most):
-    shard = Shard(boxes)
+    shard = SimulatedShard(boxes)
     shard.max_starts = most
     shard.submit(20)
     for _ in range(120):
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -28,30 +28,30 @@
 
 TICK_S = 0.1
 BOX_CPU, TASK_CPU = 8000, 2000
-STRETCH, TARGET_S = 2.0, 1.0
-USUAL_S = 2.2
-OF_USE = 3.0
-PLAY_S, AFTER_S = 45.0, 15.0
+SLOWDOWN, TARGET_S = 2.0, 1.0
+MEDIAN_TASK_S = 2.2
+USEFUL_FACTOR = 3.0
+LOAD_DURATION_S, DRAIN_DURATION_S = 45.0, 15.0
 BURSTS = ((5.0, 11.0), (17.0, 23.0))
-USUAL_LOAD = 0.95
+BASE_LOAD = 0.95
 
 
-class Bursts:
+class BurstSimulation:
     """Boxes that obey at once, and a load drawn from a seed."""
 
     def __init__(self, boxes, load, off):
         self.now = 100.0
         parameters = SchedulerParameters(keep_s=600.0, off=frozenset(off))
         self.scheduler = Scheduler(parameters, self.now)
-        queue = Queue("q", "h", "/q/", "pool", 0, 3, STRETCH, TARGET_S * 1000.0)
+        queue = Queue("q", "h", "/q/", "pool", 0, 3, SLOWDOWN, TARGET_S * 1000.0)
         self.scheduler.configured(Config(1, (queue,), {}, 1000))
         incarnations = [f"b{number:02}" for number in range(boxes)]
         self.running = {incarnation: {} for incarnation in incarnations}
         self.ended = {incarnation: [] for incarnation in incarnations}
         self.counts = dict.fromkeys(incarnations, 0)
         self.ends = []
-        self.lasts = {}
-        self.came = {}
+        self.durations_s = {}
+        self.submitted = {}
         entries = {
             incarnation: BoxEntry(
                 *(incarnation, incarnation, "pool", "h", "r", frozenset()),
@@ -60,26 +60,26 @@
             for incarnation in incarnations
         }
         self.scheduler.fleet.listed(entries, self.now)
-        self.play(random.Random(1), boxes * BOX_CPU / TASK_CPU, load)
+        self.run(random.Random(1), boxes * BOX_CPU / TASK_CPU, load)
 
-    def play(self, draw, room, load):
-        owed = 0.0
-        for tick in range(round(PLAY_S / TICK_S)):
+    def run(self, rng, room, load):
+        backlog = 0.0
+        for tick in range(round(LOAD_DURATION_S / TICK_S)):
             at = tick * TICK_S
             burst = any(begins < at < ends for begins, ends in BURSTS)
-            owed += room * (load if burst else USUAL_LOAD) * TICK_S
-            while owed > 0:
-                owed -= self.submit(draw)
+            backlog += room * (load if burst else BASE_LOAD) * TICK_S
+            while backlog > 0:
+                backlog -= self.submit(rng)
             self.tick()
-        for _ in range(round(AFTER_S / TICK_S)):
+        for _ in range(round(DRAIN_DURATION_S / TICK_S)):
             self.tick()
 
-    def submit(self, draw):
+    def submit(self, rng):
         """Hand in a job; returns its work in seconds of a task."""
-        tasks = max(1, min(200, int(draw.lognormvariate(2.2, 0.8))))
-        lasts_s = USUAL_S * draw.lognormvariate(0.0, 0.5)
-        estimate_ms = int(1000 * lasts_s * math.exp(draw.gauss(0.0, 0.6)))
-        job = f"{len(self.came):016x}"
+        tasks = max(1, min(200, int(rng.lognormvariate(2.2, 0.8))))
+        duration_s = MEDIAN_TASK_S * rng.lognormvariate(0.0, 0.5)
+        estimate_ms = int(1000 * duration_s * math.exp(rng.gauss(0.0, 0.6)))
+        job = f"{len(self.submitted):016x}"
         first = Step(
             tasks, TASK_CPU, 10, estimate_ms=estimate_ms, image="f", best_effort=True
         )
@@ -90,11 +90,11 @@
             image="f",
             best_effort=True,
         )
-        self.lasts[job] = lasts_s
-        self.came[job] = (self.now, 2 * tasks * lasts_s)
+        self.durations_s[job] = duration_s
+        self.submitted[job] = (self.now, 2 * tasks * duration_s)
         submission = Submission(job, "q", "pool", "s", (first, second))
-        self.take(self.scheduler.called(job, SubmitJob(submission), self.now))
-        return self.came[job][1]
+        self.apply(self.scheduler.called(job, SubmitJob(submission), self.now))
+        return self.submitted[job][1]
 
     def tick(self):
         self.now += TICK_S
@@ -114,14 +114,14 @@
                 int(self.now * 1000), rows, tuple(self.ended[incarnation])
             )
             self.scheduler.fleet.plan_poll(incarnation, self.now, True)
-            self.take(
+            self.apply(
                 self.scheduler.fleet.poll_answered(
                     incarnation, self.now, self.now, poll
                 )
             )
-        self.take(self.scheduler.decide(self.now, 0))
+        self.apply(self.scheduler.decide(self.now, 0))
 
-    def take(self, decisions):
+    def apply(self, decisions):
         for decision in decisions:
             if isinstance(decision, StartTask):
                 self.start(decision)
@@ -130,9 +130,9 @@
 
     def start(self, order):
         self.running[order.incarnation][order.task] = order.run
-        ends = self.now + self.lasts[order.task.split(".")[0]]
+        ends = self.now + self.durations_s[order.task.split(".")[0]]
         heapq.heappush(self.ends, (ends, order.incarnation, order.task, order.run))
-        self.take(
+        self.apply(
             self.scheduler.start_answered(
                 order.incarnation, order.task, order.run, CommandAccepted(1), self.now
             )
@@ -140,22 +140,22 @@
 
     def served(self, first, last):
         """Share of the jobs between two shares of all, by size, that were of use."""
-        ranked = sorted(self.came, key=lambda job: self.came[job][1])
+        ranked = sorted(self.submitted, key=lambda job: self.submitted[job][1])
         jobs = ranked[int(len(ranked) * first) : int(len(ranked) * last)]
         return sum(map(self.of_use, jobs)) / len(jobs)
 
     def of_use(self, job):
         workflow = self.scheduler.state.workflows[job]
-        objective = STRETCH * 2 * self.lasts[job] + TARGET_S
-        took = workflow.ended_at - self.came[job][0]
-        return workflow.state == "completed" and took <= OF_USE * objective
+        objective = SLOWDOWN * 2 * self.durations_s[job] + TARGET_S
+        took = workflow.ended_at - self.submitted[job][0]
+        return workflow.state == "completed" and took <= USEFUL_FACTOR * objective
 
 
 @given("a shard of {boxes:d} boxes and two bursts of {load:d} times its room")
 def two_bursts(context, boxes, load):
-    context.shipped = Bursts(boxes, load, ())
+    context.shipped = BurstSimulation(boxes, load, ())
     off = (Mechanism.VALUE, Mechanism.SIZE_SHARES)
-    context.plain = Bursts(boxes, load, off)
+    context.baseline = BurstSimulation(boxes, load, off)
 
 
 @then(
@@ -163,10 +163,10 @@
     "as all"
 )
 def largest_served(context, share):
-    played = context.shipped
-    whole = played.served(0.0, 1.0)
-    assert played.served(0.9, 1.0) >= share * whole, played.served(0.9, 1.0)
-    assert played.served(0.7, 0.9) >= share * whole, played.served(0.7, 0.9)
+    simulation = context.shipped
+    whole = simulation.served(0.0, 1.0)
+    assert simulation.served(0.9, 1.0) >= share * whole, simulation.served(0.9, 1.0)
+    assert simulation.served(0.7, 0.9) >= share * whole, simulation.served(0.7, 0.9)
 
 
 @then(
@@ -174,10 +174,11 @@
     "size_shares switched off"
 )
 def more_of_largest(context, factor):
-    shipped, plain = (
-        played.served(0.9, 1.0) for played in (context.shipped, context.plain)
+    shipped, baseline = (
+        simulation.served(0.9, 1.0)
+        for simulation in (context.shipped, context.baseline)
     )
-    assert shipped >= factor * plain, (shipped, plain)
+    assert shipped >= factor * baseline, (shipped, baseline)
 
 
 def waiting(order, job, tasks, done=0, latest=200.0):
--- a/src/granitetrestle/crashloops.py
+++ b/src/granitetrestle/crashloops.py
@@ -18,7 +18,7 @@
     "NO_BLAME",
     "BlamedTasks",
     "BoxLosses",
-    "Trials",
+    "SuspectPlacement",
     "blame",
     "clear_suspicion",
     "has_just_started",
@@ -56,7 +56,7 @@
 CLEARED_RUNTIME_S: t.Final = 60.0
 # Maximum share of a pool's open boxes that are reserved for suspects at a time: other
 # tasks have just lost a box as well, and wait for room.
-MAX_TRIAL_BOXES_SHARE: t.Final = 0.125
+MAX_ISOLATED_BOXES_SHARE: t.Final = 0.125
 
 
 class BlamedTasks(t.NamedTuple):
@@ -128,7 +128,9 @@
 
 
 def blame(
-    candidates: t.Sequence[Task], lost_at: float = math.inf, by_itself: bool = False
+    candidates: t.Sequence[Task],
+    lost_at: float = math.inf,
+    maybe_unrelated: bool = False,
 ) -> BlamedTasks:
     """Add points of suspicion to the tasks that may have crashed a lost box.
 
@@ -142,14 +144,16 @@
     tasks = tuple(task for task in likely if task.suspicion == max_suspicion)
     for task in candidates:
         if task in tasks and task.running_since:
-            task.suspicion += LIKELY_POINTS_AMID_LOSSES if by_itself else LIKELY_POINTS
+            task.suspicion += (
+                LIKELY_POINTS_AMID_LOSSES if maybe_unrelated else LIKELY_POINTS
+            )
         elif task in likely:
             # Two tasks that crash boxes may start together each time, on the only box.
             task.suspicion += LESS_LIKELY_POINTS
         elif not max_suspicion:
             # A task may run for a while before it crashes its box.
             task.suspicion += POSSIBLE_POINTS
-    alone = len(likely) == 1 and bool(likely[0].running_since) and not by_itself
+    alone = len(likely) == 1 and bool(likely[0].running_since) and not maybe_unrelated
     return BlamedTasks(tasks, alone)
 
 
@@ -167,14 +171,14 @@
         task.suspicion = 0
 
 
-class Trials:
+class SuspectPlacement:
     """Chooses the boxes on which suspects are retried."""
 
     def __init__(self) -> None:
         self._now = 0.0
         # Incarnation of a box that is reserved for a suspect -> until when.
-        self._reserved: dict[str, float] = {}
-        self._max_reserved = 0
+        self._isolated: dict[str, float] = {}
+        self._max_isolated = 0
         self._just_started: collections.Counter[str] = collections.Counter()
 
     def start_pass(self, boxes: t.Collection[BoxView], now: float) -> None:
@@ -183,12 +187,12 @@
         :param boxes: all boxes that are open for work.
         """
         self._now = now
-        self._reserved = {
+        self._isolated = {
             incarnation: until
-            for incarnation, until in self._reserved.items()
+            for incarnation, until in self._isolated.items()
             if until > now
         }
-        self._max_reserved = math.ceil(MAX_TRIAL_BOXES_SHARE * len(boxes))
+        self._max_isolated = math.ceil(MAX_ISOLATED_BOXES_SHARE * len(boxes))
         self._just_started.clear()
         for box in boxes:
             for task in box.tasks.values():
@@ -204,6 +208,6 @@
         """Reserve a box for the suspect that starts there, until a crash by its start
         would have shown, unless too many boxes are reserved."""
         self._just_started[box.incarnation] += 1
-        if len(self._reserved) < self._max_reserved:
-            self._reserved[box.incarnation] = self._now + JUST_STARTED_MAX_AGE_S
-            box.closed_until = max(box.closed_until, self._reserved[box.incarnation])
+        if len(self._isolated) < self._max_isolated:
+            self._isolated[box.incarnation] = self._now + JUST_STARTED_MAX_AGE_S
+            box.closed_until = max(box.closed_until, self._isolated[box.incarnation])
--- a/src/granitetrestle/dispatch.py
+++ b/src/granitetrestle/dispatch.py
@@ -14,7 +14,7 @@
 from .boxsearch import StepSearch
 from .boxsearch import preferred
 from .boxsearch import suits
-from .crashloops import Trials
+from .crashloops import SuspectPlacement
 from .decisions import AskAdvice
 from .decisions import Decision
 from .decisions import LogEvent
@@ -95,7 +95,7 @@
         indexed = state.on(Mechanism.INDEX)
         self._search: BoxSearch = IndexedSearch() if indexed else PlainSearch()
         self._order = _waiting_order(state)
-        self._trials = Trials()
+        self._suspect_placement = SuspectPlacement()
         self._move_checked_at = now
         # Image -> the least need (thousandths of a core) of a failed search, and when.
         self._failed_searches: dict[str, tuple[int, float]] = {}
@@ -282,8 +282,8 @@
         if not suspects:
             return []
         effects: list[Decision] = []
-        trials = self._trials
-        trials.start_pass(pool.boxes.values(), now)
+        placement = self._suspect_placement
+        placement.start_pass(pool.boxes.values(), now)
         ranking = self.packer.ranking(suspects[0], self._state.interference, now)
         for task in suspects:
             search = self._begin_search(entry, pool, now)
@@ -292,8 +292,8 @@
             bearable = [box for box in boxes if ranking.rank(box) is not None]
             if not bearable:
                 break
-            box = min(bearable, key=trials.rank)
-            trials.record_start(box)
+            box = min(bearable, key=placement.rank)
+            placement.record_start(box)
             effects.append(self._start_waiting(entry, task, box, now))
             self._state.index.refresh(now)
         return effects
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -227,8 +227,8 @@
         able, lost_at = may_have_crashed(box), box.lost_at or box.clock_at
         if not any(has_just_started(task, lost_at) for task in able):
             self._losses.record_unexplained(now)
-        by_itself = self._losses.may_be_unrelated(box.silent_since, now)
-        return blame(able, lost_at, by_itself)
+        maybe_unrelated = self._losses.may_be_unrelated(box.silent_since, now)
+        return blame(able, lost_at, maybe_unrelated)
 
     def resume_leases(self, again: ResumeLeases) -> None:
         """Renew leases of a box from now on: a successor would know."""
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -147,7 +147,7 @@
         (
             (
                 "crashloops.py",
-                "if len(self._reserved) < self._max_reserved:",
+                "if len(self._isolated) < self._max_isolated:",
                 "if True:",
             ),
         ),
