--- a/src/granitetrestle/crashloops.py
+++ b/src/granitetrestle/crashloops.py
@@ -54,8 +54,8 @@
 # A task that has run for this long is no longer suspected: one that runs for weeks
 # loses boxes now and then, and would be given up in the end.
 CLEARED_RUNTIME_S: t.Final = 60.0
-# Maximum share of a pool's open boxes that are reserved for suspects at a time: other
-# tasks have just lost a box as well, and wait for room.
+# Maximum share of a pool's open boxes that take only a suspect at a time: other tasks
+# have just lost a box as well, and wait for room.
 MAX_ISOLATED_BOXES_SHARE: t.Final = 0.125
 
 
@@ -176,7 +176,7 @@
 
     def __init__(self) -> None:
         self._now = 0.0
-        # Incarnation of a box that is reserved for a suspect -> until when.
+        # Incarnation of a box that takes no task beside a suspect -> until when.
         self._isolated: dict[str, float] = {}
         self._max_isolated = 0
         self._just_started: collections.Counter[str] = collections.Counter()
@@ -205,8 +205,8 @@
         return (self._just_started[box.incarnation], len(box.tasks), box.incarnation)
 
     def record_start(self, box: BoxView) -> None:
-        """Reserve a box for the suspect that starts there, until a crash by its start
-        would have shown, unless too many boxes are reserved."""
+        """Close a box to other tasks than the suspect that starts there until a crash
+        by its start would have shown, unless too many boxes are isolated."""
         self._just_started[box.incarnation] += 1
         if len(self._isolated) < self._max_isolated:
             self._isolated[box.incarnation] = self._now + JUST_STARTED_MAX_AGE_S
