--- a/features/report_world.py
+++ b/features/report_world.py
@@ -57,7 +57,7 @@
     def leader(self, now):
         if self.leading:
             return self.name
-        if self.leadership.leader_silent(now):
+        if self.leadership.is_leader_silent(now):
             return ""
         return self.leadership.leader
 
@@ -75,7 +75,7 @@
         self.learn(now)
         self.see_beat(now)
         if self.world.shown[0]:
-            self.leadership.leads(*self.world.shown, now)
+            self.leadership.record_leader(*self.world.shown, now)
 
     def see_beat(self, now):
         beat = self.world.beat
@@ -97,15 +97,15 @@
         if self.leading:
             if self.world.last != self.name:
                 self.leading = False
-                self.leadership.deposed()
+                self.leadership.record_deposed()
             elif self.world.store_reached(self) and now - self.world.beat[1] > BEAT:
                 self.world.show(now)
             return
         if self.asking:
             return
-        if not self.leadership.take_over_due(now):
+        if not self.leadership.is_take_over_due(now):
             return
-        if not self.leadership.outnumbered(now):
+        if not self.leadership.lacks_stable_majority(now):
             self.try_it(now)
         elif now >= self.ask_at:
             self.ask_store(self.asked)
@@ -127,31 +127,31 @@
             self.trying = False
 
     def asked(self, now):
-        left = BEAT_LOST + self.leadership.stagger(now) - self.see_beat(now)
+        left = BEAT_LOST + self.leadership.take_over_stagger_s(now) - self.see_beat(now)
         self.ask_at = now + max(ASK_STORE, left)
         if left > 0.0:
             return
-        if self.leadership.take_over_due(now):
+        if self.leadership.is_take_over_due(now):
             self.try_it(now)
 
     def try_it(self, now):
         self.trying = True
         self.world.tried.add(self.name)
-        self.leadership.tried(now)
+        self.leadership.record_attempt(now)
         self.say(self.reports.all(self.own, now), now)
         self.ask_store(self.read)
 
     def read(self, now):
         if self.world.shown[0] > self.leadership.epoch:
             self.trying = False
-            self.leadership.leads(*self.world.shown, now)
+            self.leadership.record_leader(*self.world.shown, now)
             return
         self.ask_store(self.append)
 
     def append(self, now):
         self.trying = False
         self.world.take(self, now)
-        self.leadership.took_over(self.world.epoch, now)
+        self.leadership.record_take_over(self.world.epoch, now)
         self.leading = True
         self.say(self.reports.all(self.own, now), now)
 
--- a/features/rights.py
+++ b/features/rights.py
@@ -3,7 +3,7 @@
 from granitetrestle.leaderlease import LeaderLease
 
 
-class GivenRight(LeaderLease):
+class FixedLeaderLease(LeaderLease):
     """A right of a given age."""
 
     def __init__(self, age_s=0.0):
@@ -15,11 +15,11 @@
     def may_renew(self):
         return True
 
-    def holds(self):
+    def is_valid(self):
         return True
 
-    async def confirmed(self):
+    async def wait_until_valid(self):
         pass
 
 
-CONFIRMED = GivenRight()
+CONFIRMED = FixedLeaderLease()
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -145,7 +145,7 @@
     registry = Registry(store)
 
     async def fill():
-        await registry.enter("n1", NodeEntry("127.0.0.1:7000", "h", 1.0))
+        await registry.register("n1", NodeEntry("127.0.0.1:7000", "h", 1.0))
         foreign = [b"\xff", b"\xc1", b"\x93\x01\x02\x03", b"text", b"\x91\xa1x"]
         records = [Record(f"node/f{i}", value) for i, value in enumerate(foreign)]
         records.append(Record("leader", b"\xc1"))
--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -19,13 +19,13 @@
 @given("a process that the store names as the last decider")
 def named_by_store(context):
     context.leadership = Leadership("n1", 0.0, 0.5)
-    context.leadership.leads(7 << 24, "n1", 0.1)
+    context.leadership.record_leader(7 << 24, "n1", 0.1)
 
 
 @then("it takes over by itself instead of waiting for itself")
 def takes_over(context):
     assert context.leadership.leader == ""
-    assert context.leadership.take_over_due(0.5)
+    assert context.leadership.is_take_over_due(0.5)
     assert context.leadership.epoch == 7 << 24
 
 
@@ -34,45 +34,45 @@
     context.successors = []
     for node, other in (("n2", "n3"), ("n3", "n2")):
         leadership = Leadership(node, 0.0, 0.5)
-        leadership.heard(status("n1", 5, "n1", ("n2", "n3")), 10.0)
-        leadership.heard(status(other, 5, "n1"), 10.6)
+        leadership.record_report(status("n1", 5, "n1", ("n2", "n3")), 10.0)
+        leadership.record_report(status(other, 5, "n1"), 10.6)
         context.successors.append(leadership)
 
 
 @then("the first is due at once and the second only after it had its chance")
 def first_due(context):
     first, second = context.successors
-    assert not first.take_over_due(10.5)
-    assert first.take_over_due(10.85)
-    assert not second.take_over_due(10.85)
-    assert second.take_over_due(11.3)
+    assert not first.is_take_over_due(10.5)
+    assert first.is_take_over_due(10.85)
+    assert not second.is_take_over_due(10.85)
+    assert second.is_take_over_due(11.3)
 
 
 @when("the first of them says that it is taking over")
 def says_so(context):
     context.second = context.successors[1]
     for tick in range(20):
-        context.second.heard(
+        context.second.record_report(
             replace(status("n2", 5, ""), taking_over=True), 10.9 + tick * 0.4
         )
 
 
 @then("the second waits for it, but not for ever")
 def waits_for_it(context):
-    assert not context.second.take_over_due(11.6)
-    assert not context.second.take_over_due(13.0)
-    assert context.second.take_over_due(15.5)
+    assert not context.second.is_take_over_due(11.6)
+    assert not context.second.is_take_over_due(13.0)
+    assert context.second.is_take_over_due(15.5)
 
 
 @when("the first of them hears nobody any more")
 def hears_nobody(context):
-    assert not context.successors[0].isolated(10.9)
+    assert not context.successors[0].is_isolated(10.9)
     context.now = 13.0
 
 
 @then("it counts as isolated")
 def isolated(context):
-    assert context.successors[0].isolated(context.now)
+    assert context.successors[0].is_isolated(context.now)
 
 
 @given("a process cut off with a decider that has lost the store")
@@ -80,67 +80,71 @@
     leadership = context.leadership = Leadership("n3", 0.0, 0.5)
     lost = status("n1", 5, "n1", ("n3",))
     for tick in range(30):
-        leadership.heard(replace(lost, store_ok=False), 10.0 + tick * 0.2)
+        leadership.record_report(replace(lost, store_ok=False), 10.0 + tick * 0.2)
 
 
 @when("it hears from others of a newer decider")
 def hears_newer(context):
-    context.leadership.heard(status("n2", 6, "n9"), 15.9)
+    context.leadership.record_report(status("n2", 6, "n9"), 15.9)
 
 
 @then("it does not take over from that one at once")
 def patient_with_new(context):
     assert context.leadership.leader == "n9"
-    assert not context.leadership.take_over_due(16.0)
-    assert not context.leadership.take_over_due(16.5)
+    assert not context.leadership.is_take_over_due(16.0)
+    assert not context.leadership.is_take_over_due(16.5)
 
 
 @given("a process that hears {heard:d} of {known:d} others, and no decider")
 def hears_some(context, heard, known):
     leadership = context.leadership = Leadership("n0", 0.0, 0.0)
     for number in range(1, known + 1):
-        leadership.heard(status(f"n{number}", 5, "n9"), 10.0)
-    leadership.follow_majority(10.1)
+        leadership.record_report(status(f"n{number}", 5, "n9"), 10.0)
+    leadership.update_majority(10.1)
     for number in range(1, heard + 1):
-        leadership.heard(status(f"n{number}", 5, "n9"), 11.5)
-    assert leadership.take_over_due(12.0)
+        leadership.record_report(status(f"n{number}", 5, "n9"), 11.5)
+    assert leadership.is_take_over_due(12.0)
 
 
 @then("it asks the store whether a decider is at work")
 def asks_store(context):
-    assert context.leadership.outnumbered(12.0)
+    assert context.leadership.lacks_stable_majority(12.0)
 
 
 @then("it takes over without asking")
 def asks_nobody(context):
-    assert not context.leadership.outnumbered(12.0)
+    assert not context.leadership.lacks_stable_majority(12.0)
 
 
 @when("all others are heard again, the decider last")
 def heard_again(context):
     for tick in range(6):
         for number in range(1, 9):
-            context.leadership.heard(status(f"n{number}", 5, "n9"), 12.5 + tick * 0.3)
+            context.leadership.record_report(
+                status(f"n{number}", 5, "n9"), 12.5 + tick * 0.3
+            )
 
 
 @then("it still asks the store, for a while")
 def asks_still(context):
-    assert context.leadership.outnumbered(12.5)
-    assert context.leadership.outnumbered(13.9)
-    assert not context.leadership.outnumbered(14.1)
+    assert context.leadership.lacks_stable_majority(12.5)
+    assert context.leadership.lacks_stable_majority(13.9)
+    assert not context.leadership.lacks_stable_majority(14.1)
 
 
 @given("a decider of half a core that hears a ready process of two cores")
 def small_decider(context):
     leadership = context.leadership = Leadership("n0", 0.0, 0.0)
-    leadership.took_over(5, 10.0)
+    leadership.record_take_over(5, 10.0)
     for tick in range(40):
-        leadership.heard(replace(status("n1", 5, "n0"), cores=2.0), 10.0 + tick * 0.4)
+        leadership.record_report(
+            replace(status("n1", 5, "n0"), cores=2.0), 10.0 + tick * 0.4
+        )
 
 
 @then("it hands over once it has decided calmly for a while, and not before")
 def hands_over(context):
-    better = context.leadership.better_decider
+    better = context.leadership.handover_target
     assert better(12.0, 0.5) == ""
     assert better(25.9, 0.5) == "n1"
     assert better(25.9, 1.9) == "", "as large as the other"
@@ -159,12 +163,16 @@
 def peers_not_ready(context):
     context.leadership = Leadership("n0", 0.0, 0.0)
     for node in ("n1", "n2"):
-        context.leadership.heard(replace(status(node, 5, "n0"), ready=False), 1.0)
+        context.leadership.record_report(
+            replace(status(node, 5, "n0"), ready=False), 1.0
+        )
 
 
 @then("it still names one of them as its heir")
 def names_heir(context):
-    assert context.leadership.heir(1.2) == "n1"
-    context.leadership.heard(status("n2", 5, "n0"), 1.3)
-    assert context.leadership.heir(1.4) == "n2", "the one that is ready goes first"
-    assert context.leadership.heir(9.0) == "", "nobody is heard any more"
+    assert context.leadership.choose_successor(1.2) == "n1"
+    context.leadership.record_report(status("n2", 5, "n0"), 1.3)
+    assert context.leadership.choose_successor(1.4) == "n2", (
+        "the one that is ready goes first"
+    )
+    assert context.leadership.choose_successor(9.0) == "", "nobody is heard any more"
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -142,14 +142,14 @@
     async def script():
         async with context.world.session(1) as session:
             context.waits = []
-            confirmed = session._leader_lease.confirmed
+            confirmed = session._leader_lease.wait_until_valid
 
             async def measured():
                 began = time.perf_counter()
                 await confirmed()
                 context.waits.append(time.perf_counter() - began)
 
-            session._leader_lease.confirmed = measured
+            session._leader_lease.wait_until_valid = measured
             for number in range(tasks // 8):
                 submission = job(8, f"{number + 1}")
                 await session.call(f"r{number}", SubmitJob(submission))
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -120,7 +120,7 @@
         with anyio.move_on_after(2.0):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(journal.run)
-                journal.nudge()
+                journal.request_batch()
                 while len(without_marks(store)) < count:
                     await anyio.sleep(0.01)
                 tasks.cancel_scope.cancel()
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -62,7 +62,7 @@
         self.asked = collections.Counter()
         ended = [ended_record(n) for n in range(count)]
         written = [
-            *DigestTracker().marked(ended),
+            *DigestTracker().with_digest(ended),
             EpochClaim.record(0, "a predecessor"),
         ]
         self.model.append(JOBS_TOPIC, written, None)
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -129,7 +129,7 @@
 def confirms(context):
     async def script():
         context.run.due.append(Record("p/0", b"y"))
-        context.run.journal.nudge()
+        context.run.journal.request_batch()
         await anyio.sleep(1.1)
         context.run.decide()
         await anyio.sleep(0.4)
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -11,7 +11,7 @@
 from granitetrestle.interfaces import Writer
 from granitetrestle.jobcalls import CancelJob
 from granitetrestle.jobcalls import SubmitJob
-from granitetrestle.jobrecords import GROUP_SIZE
+from granitetrestle.jobrecords import GROUP_TASKS
 from granitetrestle.scheduler import Scheduler
 from granitetrestle.shardstate import SchedulerParameters
 from granitetrestle.workflows import DONE
@@ -152,7 +152,7 @@
 )
 def overwritten(context):
     world = context.world
-    step = Step(count=GROUP_SIZE + 4, cpu=200, memory_mb=10)
+    step = Step(count=GROUP_TASKS + 4, cpu=200, memory_mb=10)
     context.job, context.second = world.submit((step,)), world.submit((step,))
     world.advance(0.1)
     world.kill()
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -240,7 +240,7 @@
 )
 def refuses_two(context, seconds):
     world = context.world
-    first = world.scheduler().leadership.ranked(world.now)[0]
+    first = world.scheduler().leadership.rank_successors(world.now)[0]
     context.killed_at = world.now
     world.refused = {world.last, first}
     world.run(seconds)
@@ -262,7 +262,7 @@
 def in_other_halls(context, count, count2):
     world = context.world
     scheduler = world.scheduler()
-    named = scheduler.leadership.ranked(world.now)[:count]
+    named = scheduler.leadership.rank_successors(world.now)[:count]
     halls = {world.processes[name].hall for name in named}
     assert len(halls) == count2 and scheduler.hall not in halls, halls
 
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -26,7 +26,7 @@
 from granitetrestle.statedigest import DIGEST_KEY
 from granitetrestle.statedigest import EpochClaim
 from granitetrestle.succession import JOBS_TOPIC
-from granitetrestle.succession import StateRead
+from granitetrestle.succession import StateReader
 from granitetrestle.succession import take_over
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
@@ -215,7 +215,7 @@
         taken = await take_over(store, 1, "first")
         await take_over(store, 2, "second")
         began = time.monotonic()
-        context.outcome = await StateRead(store, taken, NodeLog(descriptor=2)).run()
+        context.outcome = await StateReader(store, taken, NodeLog(descriptor=2)).run()
         context.took_s = time.monotonic() - began
 
     anyio.run(script)
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -258,7 +258,7 @@
         def confirmed_age_s(self):
             return steadyclock.now() - self.status.confirmed_at
 
-        def ask(self):
+        def request_append(self):
             pass
 
     context.session = Away()
@@ -304,35 +304,35 @@
                 return
             self.known_at = None
             for other in self.world.processes:
-                leadership.know(other.name)
-            leadership.leads(self.world.old_epoch, "n00", now)
+                leadership.add_known_node(other.name)
+            leadership.record_leader(self.world.old_epoch, "n00", now)
             self.beat_seen = now
         if now - self.reported >= REPORT:
             self.report(now)
-        leadership.follow_majority(now)
+        leadership.update_majority(now)
         if self.plan is not None:
             when, step = self.plan
             if now >= when:
                 self.plan = None
                 step(now)
             return
-        if leadership.leader == self.name or not leadership.take_over_due(now):
+        if leadership.leader == self.name or not leadership.is_take_over_due(now):
             return
-        if leadership.outnumbered(now):
+        if leadership.lacks_stable_majority(now):
             self.plan = (now + self.world.store_s, self.asked)
         else:
             self.begin(now)
 
     def asked(self, now):
         stands = now - self.beat_seen
-        if stands < BEAT_LOST + self.leadership.stagger(now):
+        if stands < BEAT_LOST + self.leadership.take_over_stagger_s(now):
             return
-        if self.leadership.take_over_due(now):
+        if self.leadership.is_take_over_due(now):
             self.begin(now)
 
     def begin(self, now):
         self.trying = True
-        self.leadership.tried(now)
+        self.leadership.record_attempt(now)
         self.report(now)
         self.plan = (now + self.world.store_s, self.read)
 
@@ -346,7 +346,7 @@
         self.trying = False
         self.world.epoch += 1
         self.world.taken.append(now)
-        self.leadership.took_over(self.world.epoch, now)
+        self.leadership.record_take_over(self.world.epoch, now)
         self.report(now)
 
     def report(self, now):
@@ -365,7 +365,7 @@
         )
         for other in self.world.processes:
             if other is not self and other.known_at is None:
-                other.leadership.heard(status, now + 0.002)
+                other.leadership.record_report(status, now + 0.002)
 
 
 class TakeOverWorld:
@@ -422,14 +422,14 @@
 @given("a decider that knows its peers from the store alone")
 def knows_from_store(context):
     leadership = context.leadership = Leadership("n2", 0.0, 0.0)
-    leadership.know("n1")
-    leadership.know("n3")
-    leadership.took_over(5, 10.0)
+    leadership.add_known_node("n1")
+    leadership.add_known_node("n3")
+    leadership.record_take_over(5, 10.0)
 
 
 @then("it names the first of them as its heir")
 def names_first(context):
-    assert context.leadership.heir(10.2) == "n1"
+    assert context.leadership.choose_successor(10.2) == "n1"
 
 
 @given("a decider that was confirmed a moment ago")
@@ -444,7 +444,7 @@
             self._leader_lease = JournalLeaderLease(
                 self, self._parameters.orphan_s, LoopLag()
             )
-            self.nudged = 0
+            self.append_requests = 0
 
         class status:
             confirmed_at = steadyclock.now()
@@ -454,8 +454,8 @@
         def confirmed_age_s(self):
             return steadyclock.now() - self.status.confirmed_at
 
-        def ask(self):
-            self.nudged += 1
+        def request_append(self):
+            self.append_requests += 1
             self.status.confirmed_at = steadyclock.now()
 
     context.session = Confirmed()
@@ -472,10 +472,10 @@
 def asks_before(context):
     session = context.session
     assert session._leader_lease.may_renew()
-    assert anyio.run(session.confirm) and not session.nudged
+    assert anyio.run(session.confirm) and not session.append_requests
     with unittest.mock.patch.object(
         steadyclock, "now", lambda: time.monotonic() + context.slept
     ):
         assert not session._leader_lease.may_renew()
         assert anyio.run(session.confirm)
-    assert session.nudged, "an answer would rest on what was confirmed before"
+    assert session.append_requests, "an answer would rest on what was confirmed before"
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -10,7 +10,7 @@
 from granitetrestle.interfaces import NumberTaken
 from granitetrestle.nodelog import NodeLog
 from granitetrestle.statedigest import EpochClaim
-from granitetrestle.succession import StateRead
+from granitetrestle.succession import StateReader
 from granitetrestle.succession import StateUnavailable
 from granitetrestle.succession import take_over
 from granitetrestle_standins.nativestore import StoreModel
@@ -95,7 +95,7 @@
         context.taken = await take_over(world.store, 1, "second life")
         if isinstance(context.taken, EpochClaim):
             log = NodeLog(descriptor=2)
-            context.read = await StateRead(world.store, context.taken, log).run()
+            context.read = await StateReader(world.store, context.taken, log).run()
 
     anyio.run(script)
 
--- a/src/granitetrestle/boxpoller.py
+++ b/src/granitetrestle/boxpoller.py
@@ -278,9 +278,9 @@
         rests_on_right = kind != FIRST
         while True:
             if rests_on_right:
-                await self._leader_lease.confirmed()
+                await self._leader_lease.wait_until_valid()
             async with self._window.turn(kind, self._incarnation) as turn:
-                if rests_on_right and not self._leader_lease.holds():
+                if rests_on_right and not self._leader_lease.is_valid():
                     # Others have their turn meanwhile: without this a pace waited too.
                     continue
                 outcome = await send()
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -232,7 +232,7 @@
 
     def resume_leases(self, again: ResumeLeases) -> None:
         """Renew leases of a box from now on: a successor would know."""
-        self._state.withdrawn_leases.given_back(again)
+        self._state.withdrawn_leases.confirm_resumed(again)
 
     def forget_leases(self) -> list[Decision]:
         """Let what was written of boxes go that are gone for certain, with all that ran
@@ -244,7 +244,7 @@
                 incarnation not in self._state.boxes
                 and incarnation not in self._state.inherited
             ):
-                effects += leases.give_back(incarnation)
+                effects += leases.resume(incarnation)
         return effects
 
     def plan_poll(
@@ -315,7 +315,7 @@
         self, box: BoxView, poll: PollResult, sent: float, now: float
     ) -> list[Decision]:
         effects: list[Decision] = [
-            *self._state.withdrawn_leases.give_back(box.incarnation)
+            *self._state.withdrawn_leases.resume(box.incarnation)
         ]
         box.left_answering = not box.listed
         if box.silent_since is not None:
--- a/src/granitetrestle/incarnations.py
+++ b/src/granitetrestle/incarnations.py
@@ -10,16 +10,16 @@
 SEPARATOR = "@"
 
 
-def incarnation_name(box_id: str, born: int | None) -> str:
+def incarnation_name(box_id: str, started_ms: int | None) -> str:
     """Return the name of a life.
 
     :param born: when it began, in ms since 1970, as it says itself; ``None`` if boxes of
         this kind don't say, and have a new id for each life.
     """
-    if born is None:
+    if started_ms is None:
         # An id that holds the separator would be read as the name of another's life.
         return f"{box_id}{SEPARATOR}" if SEPARATOR in box_id else box_id
-    return f"{box_id}{SEPARATOR}{born}"
+    return f"{box_id}{SEPARATOR}{started_ms}"
 
 
 def box_id_of(incarnation: str) -> str:
@@ -28,11 +28,11 @@
     return box_id if separator else incarnation
 
 
-def is_same_incarnation(incarnation: str, box_id: str, born: int | None) -> bool:
-    """Say whether who says of itself that it is ``box_id``, born so, is ``incarnation``.
+def is_same_incarnation(incarnation: str, box_id: str, started_ms: int | None) -> bool:
+    """Say whether who says of itself that it is ``box_id``, started_ms so, is ``incarnation``.
 
     A life that is named by its id alone is whoever has that id."""
     return incarnation in (
-        incarnation_name(box_id, born),
+        incarnation_name(box_id, started_ms),
         incarnation_name(box_id, None),
     )
--- a/src/granitetrestle/jobrecords.py
+++ b/src/granitetrestle/jobrecords.py
@@ -28,8 +28,8 @@
 INTERFERENCE_KEY: t.Final = "i/"
 # Tasks in one record. Smaller groups write fewer bytes for a task that changes and more
 # records for a job: a page of the store has 500, and a successor reads all pages.
-GROUP_SIZE: t.Final = 16
-TERMINAL: t.Final = frozenset({"completed", "failed", "cancelled"})
+GROUP_TASKS: t.Final = 16
+TERMINAL_STATES: t.Final = frozenset({"completed", "failed", "cancelled"})
 
 
 class GroupId(t.NamedTuple):
@@ -101,7 +101,7 @@
 
 def _group_of(task: Task) -> GroupId:
     job = task.workflow.submission.job
-    return GroupId(job, task.occurrence, task.step, task.index // GROUP_SIZE)
+    return GroupId(job, task.occurrence, task.step, task.index // GROUP_TASKS)
 
 
 def submission_record(submission: Submission) -> Record:
@@ -132,32 +132,32 @@
             or self._dropped
         )
 
-    def accepted(self, workflow: Workflow) -> None:
+    def add_job(self, workflow: Workflow) -> None:
         """Note a new job."""
         self._accepted[workflow.submission.job] = workflow
 
-    def task_changed(self, task: Task) -> None:
+    def mark_task_changed(self, task: Task) -> None:
         """Note that a task's run, state, box or failures changed."""
         self._groups[_group_of(task)] = task.workflow
 
-    def state_changed(self, workflow: Workflow) -> None:
+    def mark_ended(self, workflow: Workflow) -> None:
         """Note that a job has ended."""
         self._states[workflow.submission.job] = workflow
 
-    def retired(self, workflow: Workflow) -> None:
+    def mark_retired(self, workflow: Workflow) -> None:
         """Note that only the state of an ended job is owed any more."""
         self._ended[workflow.submission.job] = workflow
 
-    def dropped(self, job: str) -> None:
+    def mark_dropped(self, job: str) -> None:
         """Note that a job is forgotten for good."""
         self._ended.pop(job, None)
         self._dropped.add(job)
 
-    def stored(self, group: GroupId) -> None:
+    def add_stored_group(self, group: GroupId) -> None:
         """Note that a record lies in the store."""
         self._stored.setdefault(group.job, set()).add(group)
 
-    def take(self) -> list[Record]:
+    def pop_records(self) -> list[Record]:
         """Return what must be written since the last call."""
         records = []
         for workflow in self._accepted.values():
@@ -165,7 +165,7 @@
         for group, workflow in self._groups.items():
             if not workflow.retired:
                 records.append(Record(group.key, _encode(_rows(group, workflow))))
-                self.stored(group)
+                self.add_stored_group(group)
         # After the groups: a record of an older version's form is replaced here.
         for job, workflow in self._states.items():
             if not workflow.retired:
@@ -190,11 +190,11 @@
 
 
 def _rows(group: GroupId, workflow: Workflow) -> list[TaskRow]:
-    first = group.number * GROUP_SIZE
+    first = group.number * GROUP_TASKS
     count = workflow.submission.steps[group.step].count
     tasks = (
         workflow.tasks[(group.occurrence, group.step, index)]
-        for index in range(first, min(first + GROUP_SIZE, count))
+        for index in range(first, min(first + GROUP_TASKS, count))
     )
     return [_task_row(task) for task in tasks if task.run]
 
@@ -209,11 +209,11 @@
     """
 
     workflows: dict[str, Workflow]
-    learnt: dict[str, bytes]
-    unleased: t.Collection[str]
+    interference: dict[str, bytes]
+    without_lease: t.Collection[str]
     groups: list[GroupId]
-    older: list[Workflow]
-    doubtful: list[Workflow]
+    in_old_format: list[Workflow]
+    with_unreadable_progress: list[Workflow]
     unreadable: list[UnreadableRecord]
 
 
@@ -224,8 +224,8 @@
     for record in records:
         if record.value is not None:
             by_kind[record.key[:2]][record.key[2:]] = record.value
-    learnt, unleased = by_kind[INTERFERENCE_KEY], by_kind[LEASE_KEY]
-    restored = Restored({}, learnt, unleased, [], [], [], [])
+    interference, without_lease = by_kind[INTERFERENCE_KEY], by_kind[LEASE_KEY]
+    restored = Restored({}, interference, without_lease, [], [], [], [])
     for job, value in by_kind[SUBMISSION_KEY].items():
         submission = _read(_submissions, SUBMISSION_KEY + job, value, restored)
         if submission is not None:
@@ -271,17 +271,17 @@
         return
     row = _read(_job_rows, PROGRESS_KEY + job, value, restored)
     if row is None:
-        restored.doubtful.append(workflow)
+        restored.with_unreadable_progress.append(workflow)
         return
-    if row.state in TERMINAL:
+    if row.state in TERMINAL_STATES:
         workflow.end(t.cast(WorkflowState, row.state), now)
-    for occurrence, step, index, run, state, box, failed, saved in row.tasks:
+    for occurrence, step, index, run, state, box, failed, checkpoint in row.tasks:
         task = workflow.tasks.get((occurrence, step, index))
         if task is not None:
-            rest = TaskRow(index, run, state, box, tuple(failed), saved)
-            _restore_task(task, rest, now)
+            task_row = TaskRow(index, run, state, box, tuple(failed), checkpoint)
+            _restore_task(task, task_row, now)
     if row.tasks:
-        restored.older.append(workflow)
+        restored.in_old_format.append(workflow)
 
 
 def _restore_group(place: str, value: bytes, restored: Restored, now: float) -> None:
@@ -297,7 +297,7 @@
     restored.groups.append(GroupId(job, occurrence, step, number))
     rows = _read(_task_rows, GROUP_KEY + place, value, restored)
     if rows is None:
-        restored.doubtful.append(workflow)
+        restored.with_unreadable_progress.append(workflow)
         return
     for row in rows:
         task = workflow.tasks.get((occurrence, step, row.index))
--- a/src/granitetrestle/journal.py
+++ b/src/granitetrestle/journal.py
@@ -21,19 +21,19 @@
 
 # The store's calls are priced and limited; half of this is added to a decision at
 # the mean, little beside what a short job may take.
-BATCH_EVERY_S: t.Final = 0.015
+BATCH_INTERVAL_S: t.Final = 0.015
 # With nothing to write, an append of the mark alone proves that this epoch decides.
-CONFIRM_EVERY_S: t.Final = 0.4
+CONFIRM_INTERVAL_S: t.Final = 0.4
 # After several times its usual time an append is repeated beside the try before, and
 # again after twice as long each; a try is given up after the longest time.
-REPEAT_FACTOR: t.Final = 8.0
-MIN_REPEAT_S: t.Final = 0.1
-TRY_S: t.Final = 1.2
-MOST_TRIES_AT_ONCE: t.Final = 3
-RETRY_EVERY_S: t.Final = 0.08
-RECORDS_BYTES: t.Final = 1_500_000
-USUAL_S: t.Final = 0.012
-LEARNING_RATE: t.Final = 0.1
+REPEAT_DELAY_FACTOR: t.Final = 8.0
+MIN_REPEAT_DELAY_S: t.Final = 0.1
+APPEND_TIMEOUT_S: t.Final = 1.2
+MAX_CONCURRENT_ATTEMPTS: t.Final = 3
+RETRY_INTERVAL_S: t.Final = 0.08
+MAX_BATCH_BYTES: t.Final = 1_500_000
+INITIAL_APPEND_DURATION_S: t.Final = 0.012
+APPEND_DURATION_SMOOTHING_FACTOR: t.Final = 0.1
 
 
 _Outcome: t.TypeAlias = Appended | Fenced | NumberTaken
@@ -86,10 +86,10 @@
         prepare: t.Callable[[], list[Record]],
         release: t.Callable[[list[t.Any]], None],
         clock: t.Callable[[], float],
-        unanswered: t.Callable[[str, float], None],
-        not_kept: t.Callable[["NotKept"], None] = lambda _: None,
+        on_unanswered: t.Callable[[str, float], None],
+        on_not_kept: t.Callable[["NotKept"], None] = lambda _: None,
         end: int | None = None,
-        call_bytes: int = RECORDS_BYTES,
+        call_bytes: int = MAX_BATCH_BYTES,
     ) -> None:
         self._store = store
         self._topic = topic
@@ -98,20 +98,20 @@
         self._prepare = prepare
         self._release = release
         self._clock = clock
-        self._unanswered = unanswered
-        self._not_kept = not_kept
+        self._on_unanswered = on_unanswered
+        self._on_not_kept = on_not_kept
         # Where the topic ends by the newest answer; it has one writer.
         self._end = end
-        self._marks = DigestTracker()
-        self._batch_bytes = min(RECORDS_BYTES, call_bytes) - DIGEST_BYTES
+        self._digest_tracker = DigestTracker()
+        self._batch_bytes = min(MAX_BATCH_BYTES, call_bytes) - DIGEST_BYTES
         self._held: list[t.Any] = []
         # Whether somebody waits for the next append, and what tells that one succeeded.
-        self._asked = False
+        self._append_requested = False
         self._success = anyio.Event()
         self._wake = anyio.Event()
         self._confirmed_at = self._answered_at = clock()
         self._waiting_since: float | None = None
-        self._usual_s = USUAL_S
+        self._mean_append_s = INITIAL_APPEND_DURATION_S
         self.appends = 0
         self.repeats = 0
 
@@ -135,16 +135,16 @@
         """Whether nothing is held back."""
         return not self._held and self._waiting_since is None
 
-    def goes_on_from(self, records: t.Iterable[Record]) -> None:
+    def start_from(self, records: t.Iterable[Record]) -> None:
         """Learn what the topic holds before the first append."""
-        self._marks = DigestTracker(records)
+        self._digest_tracker = DigestTracker(records)
 
     def hold(self, effect: t.Any) -> None:
         """Keep an effect until all that was decided so far is durable."""
         self._held.append(effect)
         self._wake.set()
 
-    def nudge(self) -> None:
+    def request_batch(self) -> None:
         """Let the next batch come soon: there is something to decide or write."""
         self._wake.set()
 
@@ -152,100 +152,108 @@
         """Return the time on the clock by which appends are timed."""
         return self._clock()
 
-    def ask(self) -> None:
+    def request_append(self) -> None:
         """Let an append come soon, whether or not there is something to write."""
-        self._asked = True
-        self.nudge()
+        self._append_requested = True
+        self.request_batch()
 
     async def confirm(self) -> None:
         """Return once an append that is sent from now on has succeeded."""
-        asked_at = self._clock()
-        while self._confirmed_at < asked_at:
-            self.ask()
+        requested_at = self._clock()
+        while self._confirmed_at < requested_at:
+            self.request_append()
             await self._success.wait()
 
     async def run(self) -> Fenced | NumberTaken:
         """Write batches until a newer epoch is met, or somebody else in this one."""
         while True:
-            with anyio.move_on_after(CONFIRM_EVERY_S):
+            with anyio.move_on_after(CONFIRM_INTERVAL_S):
                 await self._wake.wait()
             self._wake = anyio.Event()
-            asked, self._asked = self._asked, False
+            append_requested, self._append_requested = self._append_requested, False
             records = self._prepare()
             held, self._held = self._held, []
-            if records or held or asked or self._confirm_due():
-                for part in _parts(records, self._batch_bytes):
-                    outcome = await self._append(part)
+            if records or held or append_requested or self._confirm_due():
+                for batch in _split_batches(records, self._batch_bytes):
+                    outcome = await self._append(batch)
                     if not isinstance(outcome, Appended):
                         return outcome
                 self._release(held)
-            await anyio.sleep(BATCH_EVERY_S)
+            await anyio.sleep(BATCH_INTERVAL_S)
 
     def _confirm_due(self) -> bool:
-        return self._clock() - self._confirmed_at > CONFIRM_EVERY_S
+        return self._clock() - self._confirmed_at > CONFIRM_INTERVAL_S
 
-    async def _append(self, part: t.Sequence[Record]) -> _Outcome:
+    async def _append(self, batch: t.Sequence[Record]) -> _Outcome:
         # With its mark no append is empty. An empty one has its number in common with the
         # next, which a store may answer as a repeat and not keep: a successor would start
         # again what was done.
-        records = self._marks.marked(part)
+        records = self._digest_tracker.with_digest(batch)
         self._sequence += 1
         writer = Writer(self._epoch, self._sequence)
-        began = self._waiting_since = self._clock()
-        settled = await self._settle(records, writer)
+        started_at = self._waiting_since = self._clock()
+        settled = await self._append_until_answered(records, writer)
         if isinstance(settled.outcome, Appended):
-            if not self._kept(writer, len(records), settled.outcome.end):
+            if not self._is_kept(writer, len(records), settled.outcome.end):
                 return NumberTaken(self._sequence)
-            taken = self._clock() - began
-            self._usual_s += LEARNING_RATE * (taken - self._usual_s)
-            self._confirmed_at, self._answered_at = settled.sent, self._clock()
+            duration_s = self._clock() - started_at
+            self._mean_append_s += APPEND_DURATION_SMOOTHING_FACTOR * (
+                duration_s - self._mean_append_s
+            )
+            self._confirmed_at, self._answered_at = settled.sent_at, self._clock()
             self._success.set()
             self._success = anyio.Event()
         self._waiting_since = None
         return settled.outcome
 
-    def _kept(self, writer: Writer, records: int, end: int) -> bool:
+    def _is_kept(self, writer: Writer, records: int, end: int) -> bool:
         """Say whether the topic ends as much later as was appended."""
         if self._end is not None and end < self._end + records:
-            self._not_kept(NotKept(writer.sequence, records, self._end, end))
+            self._on_not_kept(NotKept(writer.sequence, records, self._end, end))
             return False
         self._end = end
         return True
 
-    async def _settle(self, records: t.Sequence[Record], writer: Writer) -> "_Settled":
+    async def _append_until_answered(
+        self, records: t.Sequence[Record], writer: Writer
+    ) -> "_Settled":
         """Try until the store says how the append went."""
         settled: list[_Settled] = []
-        began = self._clock()
-        pause_s = max(MIN_REPEAT_S, REPEAT_FACTOR * self._usual_s)
-        open_tries = 0
-        news = anyio.Event()
+        started_at = self._clock()
+        repeat_delay_s = max(
+            MIN_REPEAT_DELAY_S, REPEAT_DELAY_FACTOR * self._mean_append_s
+        )
+        open_attempts = 0
+        attempt_ended = anyio.Event()
 
         async def attempt() -> None:
-            nonlocal open_tries
-            open_tries += 1
-            sent = self._clock()
+            nonlocal open_attempts
+            open_attempts += 1
+            sent_at = self._clock()
             self.appends += 1
-            outcome = await self._store.append(self._topic, records, writer, TRY_S)
-            open_tries -= 1
+            outcome = await self._store.append(
+                self._topic, records, writer, APPEND_TIMEOUT_S
+            )
+            open_attempts -= 1
             if not isinstance(outcome, StoreUnavailable):
-                settled.append(_Settled(outcome, sent))
+                settled.append(_Settled(outcome, sent_at))
             else:
-                self._unanswered(outcome.reason, self._clock() - began)
-                await anyio.sleep(RETRY_EVERY_S)
-            news.set()
+                self._on_unanswered(outcome.reason, self._clock() - started_at)
+                await anyio.sleep(RETRY_INTERVAL_S)
+            attempt_ended.set()
 
-        async with anyio.create_task_group() as tries:
+        async with anyio.create_task_group() as attempts:
             while not settled:
-                if open_tries < MOST_TRIES_AT_ONCE:
-                    self.repeats += open_tries > 0
-                    tries.start_soon(attempt)
-                with anyio.move_on_after(pause_s):
-                    await news.wait()
-                news = anyio.Event()
-                if not settled and open_tries:
-                    self._unanswered("no answer yet", self._clock() - began)
-                pause_s = min(TRY_S, pause_s * 2)
-            tries.cancel_scope.cancel()
+                if open_attempts < MAX_CONCURRENT_ATTEMPTS:
+                    self.repeats += open_attempts > 0
+                    attempts.start_soon(attempt)
+                with anyio.move_on_after(repeat_delay_s):
+                    await attempt_ended.wait()
+                attempt_ended = anyio.Event()
+                if not settled and open_attempts:
+                    self._on_unanswered("no answer yet", self._clock() - started_at)
+                repeat_delay_s = min(APPEND_TIMEOUT_S, repeat_delay_s * 2)
+            attempts.cancel_scope.cancel()
         return settled[0]
 
 
@@ -256,18 +264,18 @@
     """
 
     outcome: _Outcome
-    sent: float
+    sent_at: float
 
 
-def _parts(records: list[Record], most: int) -> t.Iterator[list[Record]]:
+def _split_batches(records: list[Record], max_bytes: int) -> t.Iterator[list[Record]]:
     """Cut records into calls of at most so many bytes; at least one call."""
-    part: list[Record] = []
+    batch: list[Record] = []
     size = 0
     for record in records:
         length = len(record.key) + len(record.value or b"") + 8
-        if part and size + length > most:
-            yield part
-            part, size = [], 0
-        part.append(record)
+        if batch and size + length > max_bytes:
+            yield batch
+            batch, size = [], 0
+        batch.append(record)
         size += length
-    yield part
+    yield batch
--- a/src/granitetrestle/leaderlease.py
+++ b/src/granitetrestle/leaderlease.py
@@ -13,7 +13,7 @@
 # A right is fresh for so long; nobody takes over sooner after a decider's last sign of
 # life. After a longer stand-still all starts in hand left at once, up to three times the
 # order window's size, while another decided.
-FRESH_S: t.Final = 0.8
+MAX_ANSWER_AGE_S: t.Final = 0.8
 
 
 class LeaderLease(abc.ABC):
@@ -29,11 +29,11 @@
         """Say whether leases of what runs may still be renewed."""
 
     @abc.abstractmethod
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Say whether a start may leave now."""
 
     @abc.abstractmethod
-    async def confirmed(self) -> None:
+    async def wait_until_valid(self) -> None:
         """Return once a start may leave: at once, or when the right has been confirmed
         anew. Does not return if another process decides."""
 
@@ -49,17 +49,17 @@
         self._journal = journal
         self._orphan_s = orphan_s
         self._lag = lag
-        self._doubted_at = -math.inf
+        self._invalidated_at = -math.inf
 
-    def doubt(self) -> None:
+    def invalidate(self) -> None:
         """Take nothing for confirmed until it is anew: others follow a newer epoch."""
-        self._doubted_at = self._journal.now()
-        self._journal.ask()
+        self._invalidated_at = self._journal.now()
+        self._journal.request_append()
 
-    def fresh(self, within_s: float) -> bool:
+    def is_confirmed_within(self, within_s: float) -> bool:
         """Say whether the right was confirmed within so many seconds."""
         confirmed_at = self._journal.status.confirmed_at
-        return confirmed_at >= self._doubted_at and self.age_s() < within_s
+        return confirmed_at >= self._invalidated_at and self.age_s() < within_s
 
     def age_s(self) -> float:
         """See :meth:`LeaderLease.age_s`."""
@@ -69,16 +69,19 @@
         """See :meth:`LeaderLease.may_renew`."""
         return self.age_s() < self._orphan_s
 
-    def holds(self) -> bool:
-        """See :meth:`LeaderLease.holds`. Proved by an append that was sent after this
+    def is_valid(self) -> bool:
+        """See :meth:`LeaderLease.is_valid`. Proved by an append that was sent after this
         process last stood still, and answered a moment ago: a store that takes longer
         for an append than a right is fresh would hold back every start."""
         status = self._journal.status
-        since = max(self._doubted_at, self._lag.stood_still_until)
+        proof_required_since = max(self._invalidated_at, self._lag.stood_still_until)
         answered_s_ago = self._journal.now() - status.answered_at
-        return status.confirmed_at >= since and answered_s_ago < FRESH_S
-
-    async def confirmed(self) -> None:
-        """See :meth:`LeaderLease.confirmed`."""
-        while not self.holds():
+        return (
+            status.confirmed_at >= proof_required_since
+            and answered_s_ago < MAX_ANSWER_AGE_S
+        )
+
+    async def wait_until_valid(self) -> None:
+        """See :meth:`LeaderLease.wait_until_valid`."""
+        while not self.is_valid():
             await self._journal.confirm()
--- a/src/granitetrestle/newestread.py
+++ b/src/granitetrestle/newestread.py
@@ -13,26 +13,26 @@
 from .interfaces import Store
 from .interfaces import StoreUnavailable
 
-__all__ = ["NewestRead", "read_newest"]
+__all__ = ["NewestReader", "read_newest"]
 
 # A page has up to a megabyte, which the smallest links (10 Mbit/s) carry in a second.
 PAGE_TIMEOUT_S: t.Final = 5.0
-RETRY_S: t.Final = 0.1
+PAGE_RETRY_INTERVAL_S: t.Final = 0.1
 # Tries in a row of one page, after which another process may fare better.
-PAGE_TRIES: t.Final = 20
+MAX_PAGE_ATTEMPTS: t.Final = 20
 NO_PROGRESS: t.Final = "no progress: a page ends with a key that was there before"
 
 
-class NewestRead:
+class NewestReader:
     """One read of a topic; goes on from the page that failed.
 
     :param from_end: a page of the topic as it was before it ended there is refused.
     """
 
-    def __init__(self, store: Store, topic: str, from_end: int = 0) -> None:
+    def __init__(self, store: Store, topic: str, min_end: int = 0) -> None:
         self._store = store
         self._topic = topic
-        self._from_end = from_end
+        self._min_end = min_end
         self._records: list[Record] = []
         self._end: int | None = None
         # Last keys of the pages so far. The order of keys is the store's own: a lower
@@ -41,7 +41,7 @@
         self._after: str | None = None
         self._pages = 0
 
-    async def go_on(self, timeout_s: float) -> Newest | NewestUnavailable:
+    async def resume(self, timeout_s: float) -> Newest | NewestUnavailable:
         """Read until the last page, or one that fails.
 
         :param timeout_s: for each page.
@@ -50,18 +50,18 @@
             page = await self._store.newest_page(self._topic, self._after, timeout_s)
             if isinstance(page, StoreUnavailable):
                 return self._failed(page.reason)
-            if page.end < self._from_end:
-                return self._failed(f"a page of {page.end}, not of {self._from_end}")
-            if page.more and self._repeats(page):
+            if page.end < self._min_end:
+                return self._failed(f"a page of {page.end}, not of {self._min_end}")
+            if page.more and self._repeats_a_key(page):
                 return self._failed(NO_PROGRESS)
-            end = self._take(page)
+            end = self._add_page(page)
             if not page.more:
                 return Newest(tuple(self._records), end)
 
-    def _repeats(self, page: NewestPage) -> bool:
+    def _repeats_a_key(self, page: NewestPage) -> bool:
         return not page.records or page.records[-1].key in self._last_keys
 
-    def _take(self, page: NewestPage) -> int:
+    def _add_page(self, page: NewestPage) -> int:
         """Keep a page; returns the offset from which to read on."""
         if self._end is None:
             # Pages are no snapshot: what comes after the first is read again.
@@ -78,20 +78,20 @@
 
 
 async def read_newest(
-    store: Store, topic: str, from_end: int = 0
+    store: Store, topic: str, min_end: int = 0
 ) -> Newest | NewestUnavailable:
     """Return the newest record of each key, unless one page fails again and again.
 
     :param from_end: how far the topic was read before; nothing older is taken.
     """
-    reading = NewestRead(store, topic, from_end)
-    tries = pages = 0
+    reader = NewestReader(store, topic, min_end)
+    attempts = pages = 0
     while True:
-        outcome = await reading.go_on(PAGE_TIMEOUT_S)
+        outcome = await reader.resume(PAGE_TIMEOUT_S)
         if isinstance(outcome, Newest):
             return outcome
-        tries = tries + 1 if outcome.pages == pages else 1
+        attempts = attempts + 1 if outcome.pages == pages else 1
         pages = outcome.pages
-        if tries >= PAGE_TRIES:
+        if attempts >= MAX_PAGE_ATTEMPTS:
             return outcome
-        await anyio.sleep(RETRY_S)
+        await anyio.sleep(PAGE_RETRY_INTERVAL_S)
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -25,10 +25,10 @@
 from .nodelog import NodeLog
 from .nodemetrics import NodeMetrics
 from .peerlink import PeerLink
-from .registry import BeatWatch
-from .registry import Known
+from .registry import HeartbeatWatch
 from .registry import NodeEntry
 from .registry import Registry
+from .registry import RegistryEntries
 from .reports import OwnState
 from .reports import Report
 from .reports import Reports
@@ -132,7 +132,7 @@
         self._ask_store_at = 0.0
         # Newest epoch that the store refused; without it each try began below it again.
         self._refused_epoch = 0
-        self._beat = BeatWatch()
+        self._beat = HeartbeatWatch()
         # Whether the store is asked who decides, and whether the epoch is being raised.
         self._trying = False
         self._taking_over = False
@@ -170,7 +170,7 @@
         now = time.monotonic()
         if self._session is not None:
             return self._parameters.node if self._serving else ""
-        if self._leadership.leader_silent(now):
+        if self._leadership.is_leader_silent(now):
             return ""
         return self._leadership.leader
 
@@ -219,9 +219,9 @@
                 await anyio.sleep(TICK_S * 2)
                 continue
             self._take_registry(known)
-            self._beat.still_s(known)
+            self._beat.unchanged_s(known)
             if known.nodes.get(self._parameters.node) != entry:
-                written = await self._registry.enter(self._parameters.node, entry)
+                written = await self._registry.register(self._parameters.node, entry)
                 if not written:
                     await anyio.sleep(TICK_S * 2)
                     continue
@@ -235,20 +235,20 @@
         first = True
         while True:
             await anyio.sleep(READ_AGAIN_S)
-            if not first and not self._leadership.isolated(time.monotonic()):
+            if not first and not self._leadership.is_isolated(time.monotonic()):
                 continue
             known = await self._registry.read()
             if not isinstance(known, StoreUnavailable):
                 first = False
                 self._take_members(known)
 
-    def _take_registry(self, known: Known) -> None:
+    def _take_registry(self, known: RegistryEntries) -> None:
         self._take_members(known)
         if known.leader.epoch:
             now = time.monotonic()
-            self._leadership.leads(known.leader.epoch, known.leader.node, now)
+            self._leadership.record_leader(known.leader.epoch, known.leader.node, now)
 
-    def _take_members(self, known: Known) -> None:
+    def _take_members(self, known: RegistryEntries) -> None:
         for key in known.unreadable:
             if key not in self._unreadable:
                 self._log.event("entry_unreadable", key=key)
@@ -268,7 +268,7 @@
             elif isinstance(message, CallAnswered):
                 self._forwarding.answered(message)
             elif isinstance(message, LeaderResigned):
-                self._leadership.resigned(message.epoch)
+                self._leadership.record_handover_request(message.epoch)
                 self._log.event("asked_to_take_over", by=sender, epoch=message.epoch)
 
     def _heard(self, status: NodeStatus) -> None:
@@ -344,7 +344,7 @@
 
     def _consider_handing_over(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
         """Let a process on a much larger box decide."""
-        better = self._leadership.better_decider(now, self._parameters.cores)
+        better = self._leadership.handover_target(now, self._parameters.cores)
         if better and self._session is not None and not self._session.store_away:
             tasks.start_soon(self._hand_over, better, DRAIN_S)
 
@@ -379,26 +379,26 @@
         go on hearing of this process, so the store is waited for elsewhere."""
         if self._trying:
             return
-        if not self._leadership.take_over_due(now):
+        if not self._leadership.is_take_over_due(now):
             return
         self._trying = True
         tasks.start_soon(self._try_once, now, tasks)
 
     async def _try_once(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
         try:
-            if self._leadership.outnumbered(now):
+            if self._leadership.lacks_stable_majority(now):
                 if now < self._ask_store_at:
                     return
                 if await self._alive_elsewhere(now):
                     return
                 # While the store was asked another may have begun.
                 now = time.monotonic()
-                if not self._leadership.take_over_due(now):
+                if not self._leadership.is_take_over_due(now):
                     return
             self._taking_over = True
-            self._leadership.tried(now)
+            self._leadership.record_attempt(now)
             self._report_now()
-            self._log.event("taking_over", **self._leadership.why(now))
+            self._log.event("taking_over", **self._leadership.take_over_inputs(now))
             await self._try_to_lead(tasks)
         finally:
             self._trying = self._taking_over = False
@@ -409,7 +409,11 @@
         if isinstance(known, StoreUnavailable):
             self._ask_store_at = now + ASK_STORE_S
             return True
-        left_s = BEAT_LOST_S + self._leadership.stagger(now) - self._beat.still_s(known)
+        left_s = (
+            BEAT_LOST_S
+            + self._leadership.take_over_stagger_s(now)
+            - self._beat.unchanged_s(known)
+        )
         self._ask_store_at = time.monotonic() + max(ASK_STORE_S, left_s)
         return left_s > 0.0
 
@@ -433,7 +437,7 @@
                 self._log.event("take_over_failed", reason=outcome.reason)
                 return
             if isinstance(outcome, EpochClaim):
-                self._leadership.took_over(epoch, time.monotonic())
+                self._leadership.record_take_over(epoch, time.monotonic())
                 tasks.start_soon(self._lead, outcome)
                 return
             previous = self._refused_epoch = epoch
@@ -453,7 +457,7 @@
         self._session = None
         self._session_scope = None
         self._serving = False
-        self._leadership.deposed()
+        self._leadership.record_deposed()
         self._leader_changed()
 
     def _begin_serving(self) -> None:
@@ -472,7 +476,9 @@
         self._stopping = True
         started = time.monotonic()
         if self._session is not None:
-            await self._hand_over(self._leadership.heir(started), grace_s / 4)
+            await self._hand_over(
+                self._leadership.choose_successor(started), grace_s / 4
+            )
         while time.monotonic() - started < grace_s and not self.idle:
             await anyio.sleep(TICK_S / 2)
 
@@ -489,7 +495,9 @@
             **load,
             "leading": float(session is not None and self._serving),
             "epoch_known": float(self._leadership.epoch),
-            "decider_heard_s_ago": self._leadership.heard_s_ago(time.monotonic()),
+            "decider_heard_s_ago": self._leadership.leader_report_age_or_inf_s(
+                time.monotonic()
+            ),
             "open_calls": float(self._forwarding.open_calls),
             "peers_known": float(len(self._membership) - 1),
             "relaying": float(self._membership.relaying),
--- a/src/granitetrestle/registry.py
+++ b/src/granitetrestle/registry.py
@@ -12,14 +12,14 @@
 from .interfaces import Record
 from .interfaces import Store
 from .interfaces import StoreUnavailable
-from .newestread import NewestRead
+from .newestread import NewestReader
 
-__all__ = ["BeatWatch", "Known", "LeaderEntry", "NodeEntry", "Registry"]
+__all__ = ["HeartbeatWatch", "RegistryEntries", "LeaderEntry", "NodeEntry", "Registry"]
 
 NODES_TOPIC: t.Final = "keyed.nodes"
 LEADER_KEY: t.Final = "leader"
 NODE_KEY: t.Final = "node/"
-TIMEOUT_S: t.Final = 0.6
+WRITE_TIMEOUT_S: t.Final = 0.6
 READ_TIMEOUT_S: t.Final = 1.0
 
 
@@ -39,7 +39,7 @@
     beat: int = 0
 
 
-class Known(t.NamedTuple):
+class RegistryEntries(t.NamedTuple):
     """What the store shows.
 
     :param unreadable: keys of entries that can't be read, which are passed over.
@@ -50,14 +50,14 @@
     unreadable: tuple[str, ...] = ()
 
 
-class BeatWatch:
+class HeartbeatWatch:
     """Follows the decider's beat in the store."""
 
     def __init__(self) -> None:
         self._beat: tuple[int, int] | None = None
         self._since = 0.0
 
-    def still_s(self, known: Known) -> float:
+    def unchanged_s(self, known: RegistryEntries) -> float:
         """Return for how long the beat has stood still, by what was read before."""
         now = time.monotonic()
         beat = (known.leader.epoch, known.leader.beat)
@@ -84,9 +84,9 @@
     def __init__(self, store: Store) -> None:
         self._store = store
 
-    async def read(self) -> Known | StoreUnavailable:
+    async def read(self) -> RegistryEntries | StoreUnavailable:
         """Return all processes and the newest decider."""
-        outcome = await NewestRead(self._store, NODES_TOPIC).go_on(READ_TIMEOUT_S)
+        outcome = await NewestReader(self._store, NODES_TOPIC).resume(READ_TIMEOUT_S)
         if isinstance(outcome, NewestUnavailable):
             return StoreUnavailable(outcome.reason)
         nodes: dict[str, NodeEntry] = {}
@@ -100,9 +100,9 @@
                     nodes[key.removeprefix(NODE_KEY)] = _node_entry(value)
             except (msgspec.DecodeError, UnicodeDecodeError):
                 unreadable.append(key)
-        return Known(nodes, leader, tuple(unreadable))
+        return RegistryEntries(nodes, leader, tuple(unreadable))
 
-    async def enter(self, node: str, entry: NodeEntry) -> bool:
+    async def register(self, node: str, entry: NodeEntry) -> bool:
         """Enter a process; says whether the store took it."""
         return await self._write(NODE_KEY + node, _encode(entry))
 
@@ -112,5 +112,5 @@
 
     async def _write(self, key: str, value: bytes) -> bool:
         records = (Record(key, value),)
-        outcome = await self._store.append(NODES_TOPIC, records, None, TIMEOUT_S)
+        outcome = await self._store.append(NODES_TOPIC, records, None, WRITE_TIMEOUT_S)
         return isinstance(outcome, Appended)
--- a/src/granitetrestle/reports.py
+++ b/src/granitetrestle/reports.py
@@ -82,8 +82,8 @@
         self.membership.heard(status.member, now)
         for member in status.members:
             self.membership.told(member, now)
-        before = self.leadership.newest_sign
-        self.leadership.heard(status, now)
+        before = self.leadership.newest_leader_report
+        self.leadership.record_report(status, now)
         if status.leader == self.leadership.leader and status.leader_address:
             self._told_address = (status.leader, status.leader_address)
             self.membership.decides(status.leader)
@@ -92,7 +92,7 @@
         if new or status.asks_members:
             answer = self._status(own, now, members=status.asks_members)
             reports.append(Report((status.node,), answer))
-        epoch, heard_at = self.leadership.newest_sign
+        epoch, heard_at = self.leadership.newest_leader_report
         if epoch > before[0]:
             self._passed_on_at = -1e9
         if epoch > before[0] or heard_at - self._passed_on_sign > NEWS_S:
@@ -107,17 +107,17 @@
         if not to:
             return []
         self._passed_on_at = now
-        self._passed_on_sign = self.leadership.newest_sign[1]
+        self._passed_on_sign = self.leadership.newest_leader_report[1]
         return [Report(to, self._status(own, now))]
 
     def due(self, own: OwnState, now: float) -> list[Report]:
         """Return the reports that are due; to be called several times a second."""
         self.membership.update(own.leading, self.leadership.leader, now)
         relaying = self.membership.relaying
-        self.leadership.follow_relays(
+        self.leadership.set_relays(
             self.membership.relays, relaying, self.membership.cut_off
         )
-        self.leadership.follow_majority(now)
+        self.leadership.update_majority(now)
         reports = self._again(own, now)
         gone = self.membership.gone_to_try(now)
         if gone and relaying:
@@ -170,7 +170,7 @@
         members: bool = False,
     ) -> NodeStatus:
         leadership = self.leadership
-        age_s = leadership.leader_age_s(now)
+        age_s = leadership.leader_report_age_s(now)
         return NodeStatus(
             node=self._me.node,
             address=self._me.address,
@@ -180,8 +180,8 @@
             store_ok=own.store_ok,
             ready=own.ready,
             cores=self._me.cores,
-            successors=leadership.ranked(now) if own.leading else (),
-            taking_over=own.taking_over or leadership.trying(now),
+            successors=leadership.rank_successors(now) if own.leading else (),
+            taking_over=own.taking_over or leadership.has_pending_attempt(now),
             leader_age_ms=None if age_s is None else int(age_s * 1000),
             leader_address=self.leader_address,
             subscribes=subscribes,
--- a/src/granitetrestle/retryafter.py
+++ b/src/granitetrestle/retryafter.py
@@ -9,25 +9,25 @@
 __all__ = ["RetryAfter", "FollowingOutage", "SteadyRetries"]
 
 # Whole seconds, since that is what the header carries.
-LEAST_S: t.Final = 1
-MOST_S: t.Final = 4
+MIN_RETRY_AFTER_S: t.Final = 1
+MAX_RETRY_AFTER_S: t.Final = 4
 
 
 class RetryAfter(abc.ABC):
     """Says when to come back, in seconds."""
 
     @abc.abstractmethod
-    def after_s(self, away_s: float) -> int:
-        """Return it for a store that has been away for ``away_s`` seconds."""
+    def after_s(self, outage_s: float) -> int:
+        """Return it for a store that has been away for ``outage_s`` seconds."""
 
 
 class FollowingOutage(RetryAfter):
     """Baseline: as long as the store has been away. Whoever comes early returns a whole
     outage after its end."""
 
-    def after_s(self, away_s: float) -> int:
+    def after_s(self, outage_s: float) -> int:
         """See :meth:`RetryAfter.after_s`."""
-        return max(LEAST_S, min(MOST_S, round(away_s)))
+        return max(MIN_RETRY_AFTER_S, min(MAX_RETRY_AFTER_S, round(outage_s)))
 
 
 class SteadyRetries(RetryAfter):
@@ -38,11 +38,11 @@
     (worked out for 6,000 arrivals)."""
 
     # Up to so long an outage, and how long each refused client then stays away.
-    STAGES: t.ClassVar = ((4.0, 2), (8.0, 3))
+    STEPS: t.ClassVar = ((4.0, 2), (8.0, 3))
 
-    def after_s(self, away_s: float) -> int:
+    def after_s(self, outage_s: float) -> int:
         """See :meth:`RetryAfter.after_s`."""
-        for until_s, after_s in self.STAGES:
-            if away_s < until_s:
+        for until_s, after_s in self.STEPS:
+            if outage_s < until_s:
                 return after_s
-        return MOST_S
+        return MAX_RETRY_AFTER_S
--- a/src/granitetrestle/scheduler.py
+++ b/src/granitetrestle/scheduler.py
@@ -123,7 +123,7 @@
     ) -> SlicedWork[list[Decision]]:
         """Go on from what a predecessor wrote, a little at a step."""
         restored = yield from self._state.restore(records, now)
-        self._doubtful = restored.doubtful
+        self._doubtful = restored.with_unreadable_progress
         for workflow in self._state.workflows.values():
             self._dispatcher.record_submission(workflow)
             if not workflow.terminal and workflow not in self._doubtful:
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -57,7 +57,7 @@
 from .slices import in_slices
 from .statedigest import EpochClaim
 from .succession import JOBS_TOPIC
-from .succession import StateRead
+from .succession import StateReader
 from .succession import StateUnavailable
 from .waitingorder import count_waiting_tasks
 
@@ -220,7 +220,7 @@
         state = read.pop(JOBS_TOPIC)
         records, end = len(state.records), state.end
         with made_to_stay():
-            self._journal.goes_on_from(state.records)
+            self._journal.start_from(state.records)
             restoring = self._scheduler.restoring(state.records, now)
             del state
             self._apply(await in_slices(restoring))
@@ -243,7 +243,7 @@
         """Return the newest records of each topic, or ``None`` if they can't be read."""
         read: dict[str, Newest] = {}
         store = self._sources.store
-        state = StateRead(store, self._taken, self._log)
+        state = StateReader(store, self._taken, self._log)
 
         async def fetch(topic: str) -> None:
             outcome: Newest | NewestUnavailable | StateUnavailable
@@ -339,7 +339,7 @@
             elif isinstance(decision, StepDown):
                 self._step_down(decision.where)
         if self._scheduler.has_writes or self._scheduler.state.waiting:
-            self._journal.nudge()
+            self._journal.request_batch()
 
     def _watch(self, decision: WatchBox) -> None:
         keeper = BoxPoller(
@@ -421,7 +421,7 @@
         if epoch > self._epoch_heard:
             self._epoch_heard = epoch
             self._log.event("newer_epoch_heard", epoch=self._epoch, heard=epoch)
-            self._leader_lease.doubt()
+            self._leader_lease.invalidate()
 
     async def confirm(self) -> bool:
         """Return once this process is proved to decide still, or false as soon as the
@@ -429,7 +429,7 @@
 
         :raises Deposed: if it does not decide any more.
         """
-        if self._leader_lease.fresh(CONFIRMED_S):
+        if self._leader_lease.is_confirmed_within(CONFIRMED_S):
             return True
         asked = steadyclock.now()
         while self._journal.status.confirmed_at < asked:
@@ -437,7 +437,7 @@
                 raise Deposed
             if self.store_away:
                 return False
-            self._journal.ask()
+            self._journal.request_append()
             await anyio.sleep(RETRY_S)
         return True
 
--- a/src/granitetrestle/shardstate.py
+++ b/src/granitetrestle/shardstate.py
@@ -168,20 +168,20 @@
         """Enter an accepted job; it must be written."""
         workflow = Workflow(submission, now)
         self.workflows[submission.job] = workflow
-        self._records.accepted(workflow)
+        self._records.add_job(workflow)
         return workflow
 
     def changed(self, task: Task) -> None:
         """Note that a task's progress must be written."""
-        self._records.task_changed(task)
+        self._records.mark_task_changed(task)
 
     def ended(self, workflow: Workflow) -> None:
         """Note that a job's final state must be written."""
-        self._records.state_changed(workflow)
+        self._records.mark_ended(workflow)
 
     def retire(self, workflow: Workflow) -> None:
         """Keep of an ended job, of which nothing runs, its state alone."""
-        self._records.retired(workflow)
+        self._records.mark_retired(workflow)
         self.loads.remove(workflow.submission.job)
         workflow.retire()
 
@@ -189,7 +189,7 @@
         """Forget a job for good."""
         del self.workflows[job]
         self.loads.remove(job)
-        self._records.dropped(job)
+        self._records.mark_dropped(job)
 
     def note_interference(self) -> None:
         """Let what was learnt of images be written, for a successor."""
@@ -203,11 +203,11 @@
 
     def take_writes(self) -> list[Record]:
         """Return what changed since the last call, as records."""
-        records = self._records.take()
+        records = self._records.pop_records()
         for image, value in self._learnt.items():
             records.append(Record(INTERFERENCE_KEY + image, value))
         self._learnt.clear()
-        records += self.withdrawn_leases.take()
+        records += self.withdrawn_leases.pop_records()
         return records
 
     def restore(self, records: t.Iterable[Record], now: float) -> SlicedWork[Restored]:
@@ -215,14 +215,14 @@
         restored = yield from restore_jobs(records, now)
         self.workflows.update(restored.workflows)
         for group in restored.groups:
-            self._records.stored(group)
-        for workflow in restored.older:
+            self._records.add_stored_group(group)
+        for workflow in restored.in_old_format:
             for task in workflow.tasks.values():
                 if task.run:
                     self.changed(task)
             self.ended(workflow)
-        self.withdrawn_leases.restore(restored.unleased)
-        for image, value in restored.learnt.items():
+        self.withdrawn_leases.restore(restored.without_lease)
+        for image, value in restored.interference.items():
             try:
                 self.interference.restore(image, value)
             except msgspec.DecodeError as error:
--- a/src/granitetrestle/slices.py
+++ b/src/granitetrestle/slices.py
@@ -10,29 +10,29 @@
 
 SLICE_S: t.Final = 0.02
 # Long enough for what came meanwhile to be taken up, in several turns.
-PAUSE_S: t.Final = 0.001
+SLICE_PAUSE_S: t.Final = 0.001
 
 T = t.TypeVar("T")
 SlicedWork: t.TypeAlias = t.Generator[None, None, T]
 
 
-def run_to_completion(steps: SlicedWork[T]) -> T:
+def run_to_completion(work: SlicedWork[T]) -> T:
     """Return the result of a computation."""
     while True:
         try:
-            next(steps)
+            next(work)
         except StopIteration as stop:
             return t.cast(T, stop.value)
 
 
-async def in_slices(steps: SlicedWork[T]) -> T:
+async def in_slices(work: SlicedWork[T]) -> T:
     """Return the result of a computation; others have their turns meanwhile."""
-    began = time.monotonic()
+    slice_started = time.monotonic()
     while True:
         try:
-            next(steps)
+            next(work)
         except StopIteration as stop:
             return t.cast(T, stop.value)
-        if time.monotonic() - began > SLICE_S:
-            await anyio.sleep(PAUSE_S)
-            began = time.monotonic()
+        if time.monotonic() - slice_started > SLICE_S:
+            await anyio.sleep(SLICE_PAUSE_S)
+            slice_started = time.monotonic()
--- a/src/granitetrestle/statedigest.py
+++ b/src/granitetrestle/statedigest.py
@@ -22,7 +22,7 @@
     "IncompleteRead",
     "EpochClaim",
     "Verdict",
-    "judge",
+    "verify_read",
 ]
 
 # Keys of no job: a reader of jobs passes over them.
@@ -33,7 +33,7 @@
 DIGEST_BYTES: t.Final = 64
 # A topic that has seen no more records than this may hold nothing but those with which
 # epochs were raised: all processes try at the first start, some of them several times.
-ONLY_RAISED: t.Final = 64
+MAX_RECORDS_OF_CLAIMS: t.Final = 64
 
 
 class StateDigest(msgspec.Struct, frozen=True, array_like=True):
@@ -71,8 +71,8 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_marks = msgspec.msgpack.Decoder(StateDigest)
-_taken = msgspec.msgpack.Decoder(_EpochClaimant)
+_digest_decoder = msgspec.msgpack.Decoder(StateDigest)
+_claimant_decoder = msgspec.msgpack.Decoder(_EpochClaimant)
 
 
 class DigestTracker:
@@ -82,46 +82,46 @@
     """
 
     def __init__(self, records: t.Iterable[Record] = ()) -> None:
-        self._sums: dict[str, int] = {}
-        self._total = 0
+        self._checksums: dict[str, int] = {}
+        self._combined = 0
         for record in records:
-            self._take(record)
+            self._apply(record)
 
-    def _take(self, record: Record) -> None:
+    def _apply(self, record: Record) -> None:
         if record.key in _OWN_KEYS:
             return
-        self._total ^= self._sums.pop(record.key, 0)
+        self._combined ^= self._checksums.pop(record.key, 0)
         if record.value is not None:
-            self._sums[record.key] = total = zlib.crc32(
+            self._checksums[record.key] = total = zlib.crc32(
                 record.value, zlib.crc32(record.key.encode())
             )
-            self._total ^= total
+            self._combined ^= total
 
     @property
-    def mark(self) -> StateDigest:
+    def digest(self) -> StateDigest:
         """What the topic holds now."""
-        return StateDigest(len(self._sums), self._total)
+        return StateDigest(len(self._checksums), self._combined)
 
-    def marked(self, records: t.Sequence[Record]) -> list[Record]:
+    def with_digest(self, records: t.Sequence[Record]) -> list[Record]:
         """Return the records of an append with their mark."""
         for record in records:
-            self._take(record)
-        return [*records, Record(DIGEST_KEY, _encode(self.mark))]
+            self._apply(record)
+        return [*records, Record(DIGEST_KEY, _encode(self.digest))]
 
 
 class Verdict(enum.Enum):
     """What a reading is that is not proved to be the whole of what was kept."""
 
     # It is older than the epoch, or part of it is.
-    OLD = "old"
+    OUTDATED = "old"
     # Another process has raised a newer epoch.
-    OVER = "over"
+    SUPERSEDED = "over"
     # An earlier life of this process has decided in the epoch.
-    USED = "used"
+    EPOCH_REUSED = "used"
     # It does not agree with its mark: records are missing, or older ones are shown.
-    DIFFERS = "differs"
+    DIGEST_MISMATCH = "differs"
     # It has no mark: an older version of this program wrote last, or the mark is missing.
-    UNMARKED = "unmarked"
+    NO_DIGEST = "unmarked"
 
 
 class IncompleteRead(t.NamedTuple):
@@ -131,40 +131,42 @@
     reason: str
 
 
-def judge(read: Newest, taken: EpochClaim) -> IncompleteRead | None:
+def verify_read(read: Newest, claim: EpochClaim) -> IncompleteRead | None:
     """Return why a reading is not proved to be whole, or ``None`` if it is.
 
     :param taken: the epoch, as it was raised before the reading.
     """
     values = {record.key: record.value for record in read.records}
-    shown = _shown(values.get(EPOCH_CLAIM_KEY))
-    if shown != _EpochClaimant(taken.epoch, taken.by):
-        return _not_ours(shown, taken)
-    found = DigestTracker(read.records).mark
+    claimant = _decode_claimant(values.get(EPOCH_CLAIM_KEY))
+    if claimant != _EpochClaimant(claim.epoch, claim.by):
+        return _foreign_claim(claimant, claim)
+    actual = DigestTracker(read.records).digest
     if DIGEST_KEY not in values:
-        if not found.keys and taken.end <= ONLY_RAISED:
+        if not actual.keys and claim.end <= MAX_RECORDS_OF_CLAIMS:
             return None
-        return IncompleteRead(Verdict.UNMARKED, f"no mark beside {found.keys} keys")
+        return IncompleteRead(Verdict.NO_DIGEST, f"no mark beside {actual.keys} keys")
     try:
-        expected = _marks.decode(values[DIGEST_KEY] or b"")
+        expected = _digest_decoder.decode(values[DIGEST_KEY] or b"")
     except msgspec.DecodeError as error:
-        return IncompleteRead(Verdict.UNMARKED, f"the mark can't be read: {error}")
-    if found == expected:
+        return IncompleteRead(Verdict.NO_DIGEST, f"the mark can't be read: {error}")
+    if actual == expected:
         return None
-    return IncompleteRead(Verdict.DIFFERS, f"{found}, not {expected}")
+    return IncompleteRead(Verdict.DIGEST_MISMATCH, f"{actual}, not {expected}")
 
 
-def _shown(value: bytes | None) -> _EpochClaimant | None:
+def _decode_claimant(value: bytes | None) -> _EpochClaimant | None:
     try:
-        return _taken.decode(value) if value else None
+        return _claimant_decoder.decode(value) if value else None
     except msgspec.DecodeError:
         return None
 
 
-def _not_ours(shown: _EpochClaimant | None, taken: EpochClaim) -> IncompleteRead:
-    reason = f"the epoch's first record is not there, but {shown}"
-    if shown is None or shown.epoch < taken.epoch:
-        return IncompleteRead(Verdict.OLD, reason)
-    if shown.epoch > taken.epoch:
-        return IncompleteRead(Verdict.OVER, reason)
-    return IncompleteRead(Verdict.USED, reason)
+def _foreign_claim(
+    claimant: _EpochClaimant | None, claim: EpochClaim
+) -> IncompleteRead:
+    reason = f"the epoch's first record is not there, but {claimant}"
+    if claimant is None or claimant.epoch < claim.epoch:
+        return IncompleteRead(Verdict.OUTDATED, reason)
+    if claimant.epoch > claim.epoch:
+        return IncompleteRead(Verdict.SUPERSEDED, reason)
+    return IncompleteRead(Verdict.EPOCH_REUSED, reason)
--- a/src/granitetrestle/succession.py
+++ b/src/granitetrestle/succession.py
@@ -15,29 +15,29 @@
 from .interfaces import Store
 from .interfaces import StoreUnavailable
 from .interfaces import Writer
-from .newestread import NewestRead
+from .newestread import NewestReader
 from .nodelog import NodeLog
 from .statedigest import EpochClaim
 from .statedigest import IncompleteRead
 from .statedigest import Verdict
-from .statedigest import judge
+from .statedigest import verify_read
 
-__all__ = ["JOBS_TOPIC", "StateUnavailable", "StateRead", "take_over"]
+__all__ = ["JOBS_TOPIC", "StateUnavailable", "StateReader", "take_over"]
 
 JOBS_TOPIC: t.Final = "keyed.jobs"
-TAKE_OVER_TIMEOUT_S: t.Final = 1.0
+CLAIM_TIMEOUT_S: t.Final = 1.0
 # A page has up to a megabyte, which the smallest links (10 Mbit/s) carry in a second.
 PAGE_TIMEOUT_S: t.Final = 2.0
 # A page that fails, and a reading that is not whole, are read again after this.
-READ_AGAIN_S: t.Final = 0.1
+READ_RETRY_INTERVAL_S: t.Final = 0.1
 # Another process may fare better than one to which the store has refused a page so often,
 # or that no page has reached for so long.
-PAGE_TRIES: t.Final = 20
-SILENT_S: t.Final = 4.0
+MAX_PAGE_ATTEMPTS: t.Final = 20
+PAGE_PROGRESS_TIMEOUT_S: t.Final = 4.0
 # What a reading lacks for so long is lost: to wait longer would leave nobody deciding. An
 # older version writes no marks, which is seen at the first change to this one.
-DIFFERS_FOR_S: t.Final = 4.0
-UNMARKED_FOR_S: t.Final = 1.0
+DIGEST_MISMATCH_TIMEOUT_S: t.Final = 4.0
+NO_DIGEST_TIMEOUT_S: t.Final = 1.0
 
 
 async def take_over(
@@ -51,7 +51,7 @@
     """
     records = (EpochClaim.record(epoch, by),)
     writer = Writer(epoch, 1)
-    outcome = await store.append(JOBS_TOPIC, records, writer, TAKE_OVER_TIMEOUT_S)
+    outcome = await store.append(JOBS_TOPIC, records, writer, CLAIM_TIMEOUT_S)
     if isinstance(outcome, Fenced | NumberTaken | StoreUnavailable):
         return outcome
     return EpochClaim(epoch, by, outcome.end)
@@ -65,12 +65,12 @@
     records: int = 0
 
 
-class StateRead:
+class StateReader:
     """Reads what a predecessor left; no other can write meanwhile."""
 
-    def __init__(self, store: Store, taken: EpochClaim, log: NodeLog) -> None:
+    def __init__(self, store: Store, claim: EpochClaim, log: NodeLog) -> None:
         self._store = store
-        self._taken = taken
+        self._claim = claim
         self._log = log
         # Since when readings have had the same fault, and which.
         self._fault: IncompleteRead | None = None
@@ -82,39 +82,42 @@
             read = await self._read()
             if isinstance(read, StateUnavailable):
                 return read
-            wrong = judge(read, self._taken)
-            if wrong is None:
+            fault = verify_read(read, self._claim)
+            if fault is None:
                 return read
-            inputs = {"verdict": wrong.verdict.value, "why": wrong.reason}
-            self._log.event("reading_not_whole", epoch=self._taken.epoch, **inputs)
-            if wrong.verdict in (Verdict.OVER, Verdict.USED):
-                return StateUnavailable(wrong.reason)
-            if self._is_lost(wrong, time.monotonic()):
-                self._log.event("records_lost", epoch=self._taken.epoch, **inputs)
+            inputs = {"verdict": fault.verdict.value, "why": fault.reason}
+            self._log.event("reading_not_whole", epoch=self._claim.epoch, **inputs)
+            if fault.verdict in (Verdict.SUPERSEDED, Verdict.EPOCH_REUSED):
+                return StateUnavailable(fault.reason)
+            if self._is_lost(fault, time.monotonic()):
+                self._log.event("records_lost", epoch=self._claim.epoch, **inputs)
                 return read
-            await anyio.sleep(READ_AGAIN_S)
+            await anyio.sleep(READ_RETRY_INTERVAL_S)
 
-    def _is_lost(self, wrong: IncompleteRead, now: float) -> bool:
+    def _is_lost(self, fault: IncompleteRead, now: float) -> bool:
         """Say whether what a reading lacks has been missing for too long."""
-        if wrong != self._fault:
-            self._fault, self._fault_since = wrong, now
-        for_s = now - self._fault_since
-        if wrong.verdict is Verdict.UNMARKED:
-            return for_s > UNMARKED_FOR_S
-        return wrong.verdict is Verdict.DIFFERS and for_s > DIFFERS_FOR_S
+        if fault != self._fault:
+            self._fault, self._fault_since = fault, now
+        fault_age_s = now - self._fault_since
+        if fault.verdict is Verdict.NO_DIGEST:
+            return fault_age_s > NO_DIGEST_TIMEOUT_S
+        return (
+            fault.verdict is Verdict.DIGEST_MISMATCH
+            and fault_age_s > DIGEST_MISMATCH_TIMEOUT_S
+        )
 
     async def _read(self) -> Newest | StateUnavailable:
         """Read all pages, those again that fail."""
-        reading = NewestRead(self._store, JOBS_TOPIC, self._taken.end)
-        pages, tries, since = 0, 0, time.monotonic()
+        reader = NewestReader(self._store, JOBS_TOPIC, self._claim.end)
+        pages, attempts, since = 0, 0, time.monotonic()
         while True:
-            outcome = await reading.go_on(PAGE_TIMEOUT_S)
+            outcome = await reader.resume(PAGE_TIMEOUT_S)
             if not isinstance(outcome, NewestUnavailable):
                 return outcome
             now = time.monotonic()
             if outcome.pages > pages:
-                pages, tries, since = outcome.pages, 0, now
-            tries += 1
-            if tries >= PAGE_TRIES or now - since > SILENT_S:
+                pages, attempts, since = outcome.pages, 0, now
+            attempts += 1
+            if attempts >= MAX_PAGE_ATTEMPTS or now - since > PAGE_PROGRESS_TIMEOUT_S:
                 return StateUnavailable(*outcome)
-            await anyio.sleep(READ_AGAIN_S)
+            await anyio.sleep(READ_RETRY_INTERVAL_S)
--- a/src/granitetrestle/withdrawnleases.py
+++ b/src/granitetrestle/withdrawnleases.py
@@ -22,52 +22,52 @@
     def __init__(self) -> None:
         # Life -> number of its last change, so that an older one counts no more once
         # it is durable; ``None`` while leases are withdrawn.
-        self._returning: dict[str, int | None] = {}
+        self._resume_changes: dict[str, int | None] = {}
         self._changes = 0
-        self._rows: dict[str, bytes | None] = {}
+        self._unwritten_rows: dict[str, bytes | None] = {}
 
     def __contains__(self, incarnation: str) -> bool:
-        return incarnation in self._returning
+        return incarnation in self._resume_changes
 
     @property
     def waiting(self) -> bool:
         """Whether something must be written."""
-        return bool(self._rows)
+        return bool(self._unwritten_rows)
 
     @property
     def incarnations(self) -> t.Collection[str]:
         """The boxes."""
-        return self._returning.keys()
+        return self._resume_changes.keys()
 
-    def take(self) -> list[Record]:
+    def pop_records(self) -> list[Record]:
         """Return what changed since the last call, as records."""
         records = [
             Record(LEASE_KEY + incarnation, row)
-            for incarnation, row in self._rows.items()
+            for incarnation, row in self._unwritten_rows.items()
         ]
-        self._rows.clear()
+        self._unwritten_rows.clear()
         return records
 
     def restore(self, incarnations: t.Iterable[str]) -> None:
         """Take up what a predecessor wrote."""
-        self._returning.update(dict.fromkeys(incarnations))
+        self._resume_changes.update(dict.fromkeys(incarnations))
 
     def withdraw(self, incarnation: str) -> None:
         """Renew no lease there any more."""
-        if self._returning.get(incarnation, 0) is not None:
-            self._returning[incarnation] = None
-            self._rows[incarnation] = WITHDRAWN
+        if self._resume_changes.get(incarnation, 0) is not None:
+            self._resume_changes[incarnation] = None
+            self._unwritten_rows[incarnation] = WITHDRAWN
 
-    def give_back(self, incarnation: str) -> list[ResumeLeases]:
+    def resume(self, incarnation: str) -> list[ResumeLeases]:
         """Let leases be renewed there again once that is durable."""
-        if self._returning.get(incarnation, 0) is not None:
+        if self._resume_changes.get(incarnation, 0) is not None:
             return []
         self._changes += 1
-        self._returning[incarnation] = self._changes
-        self._rows[incarnation] = None
+        self._resume_changes[incarnation] = self._changes
+        self._unwritten_rows[incarnation] = None
         return [ResumeLeases(incarnation, self._changes)]
 
-    def given_back(self, again: ResumeLeases) -> None:
+    def confirm_resumed(self, resumed: ResumeLeases) -> None:
         """Note that a change is durable."""
-        if self._returning.get(again.incarnation) == again.change:
-            del self._returning[again.incarnation]
+        if self._resume_changes.get(resumed.incarnation) == resumed.change:
+            del self._resume_changes[resumed.incarnation]
--- a/src/granitetrestle_bench/takeover.py
+++ b/src/granitetrestle_bench/takeover.py
@@ -119,16 +119,16 @@
             workflow = Workflow(self._submission(KINDS[0], 1), 0.0)
             workflow.end("completed", 0.0)
             workflow.retire()
-            self._records.retired(workflow)
-        records = [r for r in self._records.take() if r.value is not None]
-        self._model.append(JOBS_TOPIC, DigestTracker().marked(records), None)
+            self._records.mark_retired(workflow)
+        records = [r for r in self._records.pop_records() if r.value is not None]
+        self._model.append(JOBS_TOPIC, DigestTracker().with_digest(records), None)
         self._model.append(LIFE_TOPIC, list(map(self._box, range(self.boxes))), None)
 
     def _fill_running(self, kind: Kind, tasks: int) -> None:
         while tasks > 0:
             steps = kind.steps[0]
             workflow = Workflow(self._submission(kind, steps), 0.0)
-            self._records.accepted(workflow)
+            self._records.add_job(workflow)
             at = self._random.randrange(steps)
             for task in workflow.tasks.values():
                 if task.step > at:
@@ -137,7 +137,7 @@
                 task.state = DONE if task.step < at else RUNNING
                 task.box = self._incarnation(self._random.randrange(self.boxes))
                 task.checkpoint = CHECKPOINT if task.spec.checkpointing else ""
-                self._records.task_changed(task)
+                self._records.mark_task_changed(task)
                 tasks -= task.step == at
 
     def _submission(self, kind: Kind, steps: int) -> Submission:
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -161,7 +161,7 @@
     def _write(self) -> None:
         if self.world.store_down or self.without_store:
             return
-        records = self.marks.marked(self.scheduler.take_writes())
+        records = self.marks.with_digest(self.scheduler.take_writes())
         writer = Writer(self.epoch, self.sequence + 1)
         outcome = self.world.store.append(JOBS, records, writer)
         if not isinstance(outcome, Appended):
--- a/tools/life_mutants.py
+++ b/tools/life_mutants.py
@@ -15,7 +15,7 @@
         (
             (
                 "incarnations.py",
-                "return incarnation in (incarnation_name(box_id, born), incarnation_name(box_id, None))",
+                "return incarnation in (incarnation_name(box_id, started_ms), incarnation_name(box_id, None))",
                 "return box_id_of(incarnation) == box_id",
             ),
         ),
@@ -59,7 +59,7 @@
         (
             (
                 "incarnations.py",
-                "if born is None:",
+                "if started_ms is None:",
                 "if True:",
             ),
         ),
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -87,8 +87,8 @@
         (
             (
                 "leadership.py",
-                "        if node != self._node:\n            self._begins",
-                "        if True:\n            self._begins",
+                "        if node != self._node:\n            self._start_epoch",
+                "        if True:\n            self._start_epoch",
             ),
         ),
         "native_parts",
@@ -98,8 +98,8 @@
         (
             (
                 "leadership.py",
-                "        if node != self._node:\n            self._begins",
-                "        if True:\n            self._begins",
+                "        if node != self._node:\n            self._start_epoch",
+                "        if True:\n            self._start_epoch",
             ),
         ),
         "native_reports",
@@ -188,7 +188,7 @@
         (
             (
                 "leadership.py",
-                "now - self._majority_since(now) < MAJORITY_SETTLED_S",
+                "now - self._majority_since(now) < MIN_MAJORITY_DURATION_S",
                 "False",
             ),
         ),
@@ -196,17 +196,23 @@
     ),
     Mutant(
         "native: a successor does not wait for one that is taking over",
-        (("leadership.py", "or not self._another_tries(now)", "or True"),),
+        (("leadership.py", "or not self._is_rival_taking_over(now)", "or True"),),
         "native_parts",
     ),
     Mutant(
         "native: a new decider is blamed for its predecessor's store",
-        (("leadership.py", "            self._leader_store_lost = None\n\n", "\n"),),
+        (("leadership.py", "            self._leader_store_lost_at = None\n\n", "\n"),),
         "native_parts",
     ),
     Mutant(
         "native: an append is begun anew, not repeated beside the first",
-        (("journal.py", "records, writer, TRY_S)", "records, writer, pause_s)"),),
+        (
+            (
+                "journal.py",
+                "records, writer, APPEND_TIMEOUT_S)",
+                "records, writer, repeat_delay_s)",
+            ),
+        ),
         "native_parts",
     ),
     Mutant(
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -151,9 +151,9 @@
         (
             (
                 "journal.py",
-                "records = self._marks.marked(part)\n        self._sequence += 1\n"
+                "records = self._digest_tracker.with_digest(batch)\n        self._sequence += 1\n"
                 "        writer = Writer(self._epoch, self._sequence)",
-                "records = list(part)\n        number = self._sequence + 1\n"
+                "records = list(batch)\n        number = self._sequence + 1\n"
                 "        self._sequence += bool(records)\n"
                 "        writer = Writer(self._epoch, number)",
             ),
@@ -173,12 +173,12 @@
     ),
     Mutant(
         "native: kept: any reading counts as whole",
-        (("succession.py", "if wrong is None:", "if True:"),),
+        (("succession.py", "if fault is None:", "if True:"),),
         "succession",
     ),
     Mutant(
         "native: kept: a new life decides in an epoch of the life before",
-        (("statedigest.py", "IncompleteRead(Verdict.USED, reason)", "None"),),
+        (("statedigest.py", "IncompleteRead(Verdict.EPOCH_REUSED, reason)", "None"),),
         "succession",
     ),
     Mutant(
@@ -188,7 +188,13 @@
     ),
     Mutant(
         "native: kept: a newer epoch that others follow puts nothing in doubt",
-        (("session.py", "            self._leader_lease.doubt()", "            pass"),),
+        (
+            (
+                "session.py",
+                "            self._leader_lease.invalidate()",
+                "            pass",
+            ),
+        ),
         "leaving_orders",
     ),
     Mutant(
@@ -196,8 +202,8 @@
         (
             (
                 "newestread.py",
-                "            if page.more and self._repeats(page):",
-                "            if page.more and (self._pages > 200 or self._repeats(page)):",
+                "            if page.more and self._repeats_a_key(page):",
+                "            if page.more and (self._pages > 200 or self._repeats_a_key(page)):",
             ),
         ),
         "take_over_pages",
@@ -207,9 +213,9 @@
         (
             (
                 "succession.py",
-                "            outcome = await reading.go_on(PAGE_TIMEOUT_S)",
-                "            reading = NewestRead(self._store, JOBS_TOPIC, 0)\n"
-                "            outcome = await reading.go_on(PAGE_TIMEOUT_S)",
+                "            outcome = await reader.resume(PAGE_TIMEOUT_S)",
+                "            reader = NewestReader(self._store, JOBS_TOPIC, 0)\n"
+                "            outcome = await reader.resume(PAGE_TIMEOUT_S)",
             ),
         ),
         "take_over_pages",
