--- a/features/report_world.py
+++ b/features/report_world.py
@@ -127,7 +127,7 @@
             self.trying = False
 
     def asked(self, now):
-        left = BEAT_LOST + self.leadership.take_over_stagger_s(now) - self.see_beat(now)
+        left = BEAT_LOST + self.leadership.stagger_s(now) - self.see_beat(now)
         self.ask_at = now + max(ASK_STORE, left)
         if left > 0.0:
             return
--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -170,9 +170,9 @@
 
 @then("it still names one of them as its heir")
 def names_heir(context):
-    assert context.leadership.choose_successor(1.2) == "n1"
+    assert context.leadership.best_successor(1.2) == "n1"
     context.leadership.record_report(status("n2", 5, "n0"), 1.3)
-    assert context.leadership.choose_successor(1.4) == "n2", (
+    assert context.leadership.best_successor(1.4) == "n2", (
         "the one that is ready goes first"
     )
-    assert context.leadership.choose_successor(9.0) == "", "nobody is heard any more"
+    assert context.leadership.best_successor(9.0) == "", "nobody is heard any more"
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -325,7 +325,7 @@
 
     def asked(self, now):
         stands = now - self.beat_seen
-        if stands < BEAT_LOST + self.leadership.take_over_stagger_s(now):
+        if stands < BEAT_LOST + self.leadership.stagger_s(now):
             return
         if self.leadership.is_take_over_due(now):
             self.begin(now)
@@ -429,7 +429,7 @@
 
 @then("it names the first of them as its heir")
 def names_first(context):
-    assert context.leadership.choose_successor(10.2) == "n1"
+    assert context.leadership.best_successor(10.2) == "n1"
 
 
 @given("a decider that was confirmed a moment ago")
--- a/src/granitetrestle/leadership.py
+++ b/src/granitetrestle/leadership.py
@@ -165,7 +165,7 @@
             return None
         return 0.0 if self._leader == self._node else now - self._leader_reported_at
 
-    def leader_report_age_or_inf_s(self, now: float) -> float:
+    def leader_silence_s(self, now: float) -> float:
         """Return how long ago the leader reported; infinite if none is known."""
         age_s = self.leader_report_age_s(now)
         return math.inf if age_s is None else age_s
@@ -290,11 +290,11 @@
             for name in self._known_nodes
             if self._is_voter(name) and name not in self._peers
         }
-        heard = sum(map(self._is_voter, self._live_peers(now))) + 1
+        reporting = sum(map(self._is_voter, self._live_peers(now))) + 1
         if (
             self._cut_off
             or self.is_isolated(now)
-            or 2 * heard < len(recent | unreported) + 1
+            or 2 * reporting < len(recent | unreported) + 1
         ):
             self._majority_reached_at = None
             return now
@@ -367,7 +367,7 @@
             "live_peers": len(self._live_peers(now)),
         }
 
-    def take_over_stagger_s(self, now: float) -> float:
+    def stagger_s(self, now: float) -> float:
         """Return how long this process waits for the ones before it when no leader has
         named successors, as after all processes were killed. Without this wait all
         would take over at once, and depose each other."""
@@ -383,7 +383,7 @@
         if not self._relaying and self._node not in self._successors:
             return NON_RELAY_DELAY_S * (1.0 + self._jitter)
         if not self._successors:
-            return self.take_over_stagger_s(now)
+            return self.stagger_s(now)
         if self._node in self._successors:
             return SUCCESSOR_STAGGER_S * self._successors.index(self._node)
         return SUCCESSOR_STAGGER_S * (len(self._successors) + self._jitter)
@@ -416,7 +416,7 @@
             rank_in_hall[status.hall] += 1
         return tuple(node for _, _, node in sorted(interleaved)[:MAX_SUCCESSORS])
 
-    def choose_successor(self, now: float) -> str:
+    def best_successor(self, now: float) -> str:
         """Return the process that is asked to take over when this one stops, or an
         empty string. A process that is not ready yet, or was never heard, is better
         than none: without a successor requests wait 0.8 s longer, and are then
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -219,7 +219,7 @@
                 await anyio.sleep(TICK_S * 2)
                 continue
             self._take_registry(known)
-            self._beat.unchanged_s(known)
+            self._beat.age_s(known)
             if known.nodes.get(self._parameters.node) != entry:
                 written = await self._registry.register(self._parameters.node, entry)
                 if not written:
@@ -409,11 +409,7 @@
         if isinstance(known, StoreUnavailable):
             self._ask_store_at = now + ASK_STORE_S
             return True
-        left_s = (
-            BEAT_LOST_S
-            + self._leadership.take_over_stagger_s(now)
-            - self._beat.unchanged_s(known)
-        )
+        left_s = BEAT_LOST_S + self._leadership.stagger_s(now) - self._beat.age_s(known)
         self._ask_store_at = time.monotonic() + max(ASK_STORE_S, left_s)
         return left_s > 0.0
 
@@ -476,9 +472,7 @@
         self._stopping = True
         started = time.monotonic()
         if self._session is not None:
-            await self._hand_over(
-                self._leadership.choose_successor(started), grace_s / 4
-            )
+            await self._hand_over(self._leadership.best_successor(started), grace_s / 4)
         while time.monotonic() - started < grace_s and not self.idle:
             await anyio.sleep(TICK_S / 2)
 
@@ -495,9 +489,7 @@
             **load,
             "leading": float(session is not None and self._serving),
             "epoch_known": float(self._leadership.epoch),
-            "decider_heard_s_ago": self._leadership.leader_report_age_or_inf_s(
-                time.monotonic()
-            ),
+            "decider_heard_s_ago": self._leadership.leader_silence_s(time.monotonic()),
             "open_calls": float(self._forwarding.open_calls),
             "peers_known": float(len(self._membership) - 1),
             "relaying": float(self._membership.relaying),
--- a/src/granitetrestle/registry.py
+++ b/src/granitetrestle/registry.py
@@ -57,7 +57,7 @@
         self._beat: tuple[int, int] | None = None
         self._since = 0.0
 
-    def unchanged_s(self, known: RegistryEntries) -> float:
+    def age_s(self, known: RegistryEntries) -> float:
         """Return for how long the beat has stood still, by what was read before."""
         now = time.monotonic()
         beat = (known.leader.epoch, known.leader.beat)
