--- a/features/session_world.py
+++ b/features/session_world.py
@@ -135,34 +135,38 @@
             for run in model.history
         ]
 
-    async def poll(self, incarnation, address, token, known, lease_ends_ms, wait_ms):
+    async def poll(
+        self, incarnation, address, token, acknowledged, lease_ends_ms, wait_ms
+    ):
         """See :class:`BoxCalls`."""
         model = self.models[incarnation]
         until = time.monotonic() + wait_ms / 1000.0
         while True:
             self.tick()
-            poll = model.poll(known, lease_ends_ms, token, time.monotonic())
+            poll = model.poll(acknowledged, lease_ends_ms, token, time.monotonic())
             if getattr(poll, "ended", True) or time.monotonic() >= until:
                 return poll
             await anyio.sleep(TICK_S)
 
-    async def start(self, order, token, spec, lease_ends_ms, checkpoint, ticket):
+    async def start(self, command, token, spec, lease_ends_ms, checkpoint, ticket):
         """See :class:`BoxCalls`."""
         now = time.monotonic()
-        return self.models[order.incarnation].start(
-            order.task, order.run, spec, lease_ends_ms, token, now
+        return self.models[command.incarnation].start(
+            command.task, command.run, spec, lease_ends_ms, token, now
         )
 
-    async def stop(self, order, token):
+    async def stop(self, command, token):
         """See :class:`BoxCalls`."""
         now = time.monotonic()
-        return self.models[order.incarnation].stop(order.task, order.run, token, now)
+        return self.models[command.incarnation].stop(
+            command.task, command.run, token, now
+        )
 
-    async def pace(self, order, token, percent):
+    async def pace(self, command, token, percent):
         """See :class:`BoxCalls`."""
         now = time.monotonic()
-        model = self.models[order.incarnation]
-        return model.pace(order.task, order.run, percent, token, now)
+        model = self.models[command.incarnation]
+        return model.pace(command.task, command.run, percent, token, now)
 
 
 class SessionWorld:
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -89,7 +89,7 @@
     def plan_poll(self, incarnation, now, may_renew):
         return PollPlan("a", 0, None, 1500)
 
-    def looked(self, incarnation, sent, now, outcome):
+    def poll_answered(self, incarnation, sent, now, outcome):
         box = self.boxes[incarnation]
         if isinstance(outcome, PollResult):
             box.adopted, box.silent_since = True, None
@@ -157,7 +157,7 @@
 @when("it looks at them for {seconds:d} seconds, all at once")
 def looks_at_once(context, seconds):
     budget = PollBudget(1_000_000)
-    budget._opening = UnlimitedWindow()
+    budget._contact_window = UnlimitedWindow()
     look_at_all(context, seconds, budget)
 
 
@@ -195,15 +195,15 @@
         box.adopted = True
         if number % (boxes // busy) == 0:
             box.tasks["t"] = None
-        before = context.budget.waiting
+        before = context.budget.long_polls
         parameters = context.budget.parameters(box)
-        if parameters.waits:
-            context.budget.began()
+        if parameters.long_poll:
+            context.budget.add_long_poll()
             if not box.tasks:
                 context.idle_waits.append(before)
         elif not box.tasks:
             context.pauses.append(parameters.pause_s)
-        context.most = max(context.most, context.budget.waiting)
+        context.most = max(context.most, context.budget.long_polls)
 
 
 @then("{most:d} looks wait at most, and no idle box's once {idle:d} do")
@@ -233,7 +233,7 @@
             await anyio.sleep(seconds)
             context.before = len(context.calls.looked)
             context.at = time.monotonic()
-            await poll.carry_out(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
+            await poll.execute(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
             await anyio.sleep(0.3)
             tasks.cancel_scope.cancel()
 
@@ -254,7 +254,7 @@
             context.before = len(context.calls.looked)
             context.at = time.monotonic()
             box.tasks["t"] = None
-            await poll.carry_out(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
+            await poll.execute(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
             await anyio.sleep(span * 2)
             tasks.cancel_scope.cancel()
 
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -7,8 +7,8 @@
 from msgspec.structs import replace
 
 from granitetrestle.commandwindow import BEST_EFFORT
-from granitetrestle.commandwindow import FIRST
 from granitetrestle.commandwindow import SHORT
+from granitetrestle.commandwindow import URGENT
 from granitetrestle.commandwindow import CommandWindow
 from granitetrestle.decisions import AskAdvice
 from granitetrestle.decisions import LogEvent
@@ -222,13 +222,13 @@
             for kind, incarnation in (
                 (SHORT, "a"),
                 (BEST_EFFORT, "a"),
-                (FIRST, "a"),
+                (URGENT, "a"),
                 (SHORT, "b"),
             ):
                 tasks.start_soon(start, kind, incarnation)
             await anyio.wait_all_tasks_blocked()
             assert context.granted == []
-            context.window.release({"a"})
+            context.window.release_starts({"a"})
             await anyio.wait_all_tasks_blocked()
             context.waiting = context.window.waiting
             tasks.cancel_scope.cancel()
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -20,7 +20,7 @@
 from granitetrestle.feeds import BoxFeed
 from granitetrestle.feeds import Sources
 from granitetrestle.interfaces import BoxEntry
-from granitetrestle.interfaces import Newest
+from granitetrestle.interfaces import NewestRecords
 from granitetrestle.interfaces import PollResult
 from granitetrestle.interfaces import Record
 from granitetrestle.interfaces import Records
@@ -91,7 +91,7 @@
         self.watched += [d.incarnation for d in decisions if isinstance(d, WatchBox)]
 
     def begin(self, *records):
-        self.feed.begin(Newest(records, 0))
+        self.feed.begin(NewestRecords(records, 0))
 
     def follow(self, *records):
         self.feed._take(records)
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -83,7 +83,7 @@
 
     async def limited(topic, records, writer, timeout_s):
         if sum(5 + len(r.key) + len(r.value or b"") for r in records) > most:
-            return StoreUnavailable("413", undone=True)
+            return StoreUnavailable("413", not_applied=True)
         return await append(topic, records, writer, timeout_s)
 
     store.append = limited
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -37,7 +37,7 @@
         self.calls = self.given_up = 0
         self.started = {}
 
-    async def start(self, order, token, spec, lease_ends_ms, checkpoint, ticket):
+    async def start(self, command, token, spec, lease_ends_ms, checkpoint, ticket):
         self.calls += 1
         now = time.monotonic()
         self.free_at = max(now, self.free_at) + self.each_s
@@ -47,7 +47,7 @@
             self.given_up += 1
             return BoxNoAnswer("no answer in time")
         await anyio.sleep(wait)
-        self.started.setdefault(order.task, time.monotonic())
+        self.started.setdefault(command.task, time.monotonic())
         return CommandAccepted(1)
 
 
@@ -65,7 +65,7 @@
     def __init__(self, boxes):
         self.state.boxes = {f"b{number}": object() for number in range(boxes)}
 
-    def start_wanted(self, order, now):
+    def start_wanted(self, command, now):
         return True
 
     def start_answered(self, incarnation, task, run, outcome, now):
@@ -100,18 +100,18 @@
         ]
         async with anyio.create_task_group() as tasks:
 
-            def order(number, fills):
+            def command(number, fills):
                 keeper = keepers[number % len(keepers)]
                 incarnation = f"b{number % len(keepers)}"
                 start = StartTask(incarnation, f"{number}", 1, "s", "", "", fills)
-                tasks.start_soon(keeper.carry_out, start)
+                tasks.start_soon(keeper.execute, start)
 
             for number in range(count):
-                order(number, True)
+                command(number, True)
             await anyio.sleep(after)
             context.asked = time.monotonic()
             for number in range(urgent):
-                order(1000 + number * 7, False)
+                command(1000 + number * 7, False)
 
     anyio.run(script)
 
@@ -157,7 +157,7 @@
     context.window = CommandWindow(lambda: context.now)
     for _ in range(count):
         context.now += ms / 1000.0
-        context.window.answered(ms / 1000.0)
+        context.window.record_answer(ms / 1000.0)
 
 
 @when("{count:d} orders go by turns to a box that answers and to one that is gone")
@@ -165,9 +165,9 @@
     for number in range(count):
         context.now += 0.02
         if number % 2:
-            context.window.unanswered()
+            context.window.record_no_answer()
         else:
-            context.window.answered(0.006)
+            context.window.record_answer(0.006)
 
 
 @then("it still lets at least {least:d} orders go at once")
@@ -207,8 +207,8 @@
 
 @then("10 of the first are started, and the urgent ones before any more of them")
 def urgent_before(context):
-    assert [order.task[0] for order in context.first] == ["a"] * 10, context.first
-    tasks = [order.task[0] for order in context.then]
+    assert [command.task[0] for command in context.first] == ["a"] * 10, context.first
+    tasks = [command.task[0] for command in context.then]
     assert tasks[:4] == ["b"] * 4 and len(tasks) == 10, tasks
 
 
@@ -216,27 +216,29 @@
 def box_leaves(context):
     hand_in(context, "a" * 16, "short", count=1, cpu=1000)
     load = context.load
-    (context.order,) = placed(context)
-    assert load.scheduler.start_wanted(context.order, load.now)
+    (context.command,) = placed(context)
+    assert load.scheduler.start_wanted(context.command, load.now)
     entries = {
         incarnation: box.entry
         for incarnation, box in load.scheduler.state.boxes.items()
     }
-    leaving = entries[context.order.incarnation]._replace(
+    leaving = entries[context.command.incarnation]._replace(
         draining=True, leaving_in_s=4.0
     )
-    entries[context.order.incarnation] = leaving
+    entries[context.command.incarnation] = leaving
     load.scheduler.fleet.listed(entries, load.now)
 
 
 @then("it is not wanted any more, and its task starts elsewhere at once")
 def not_wanted(context):
-    scheduler, order, now = context.load.scheduler, context.order, context.load.now
-    assert not scheduler.start_wanted(order, context.load.now)
+    scheduler, command, now = context.load.scheduler, context.command, context.load.now
+    assert not scheduler.start_wanted(command, context.load.now)
     withdrawn = CommandNotSent("withdrawn")
-    scheduler.start_answered(order.incarnation, order.task, order.run, withdrawn, now)
+    scheduler.start_answered(
+        command.incarnation, command.task, command.run, withdrawn, now
+    )
     (again,) = placed(context)
-    assert again.task == order.task and again.incarnation != order.incarnation
+    assert again.task == command.task and again.incarnation != command.incarnation
 
 
 @when(
@@ -245,8 +247,8 @@
 def own_delay(context, lag, count, s):
     for _ in range(count):
         context.now += 0.02
-        context.window._lag.took(lag + 0.05)
-        context.window.answered(s)
+        context.window._lag.record_sleep(lag + 0.05)
+        context.window.record_answer(s)
 
 
 class Looked:
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -16,7 +16,7 @@
 from granitetrestle.calls import Caller
 from granitetrestle.calls import Reply
 from granitetrestle.interfaces import BoxCalls
-from granitetrestle.interfaces import Newest
+from granitetrestle.interfaces import NewestRecords
 from granitetrestle.interfaces import Record
 from granitetrestle.newestread import read_newest
 from granitetrestle.nodemetrics import NodeMetrics
@@ -321,7 +321,7 @@
 @then("reading goes on from where the first page ended")
 def goes_on_from_first(context):
     newest = context.newest
-    assert isinstance(newest, Newest), newest
+    assert isinstance(newest, NewestRecords), newest
     assert newest.end == context.end, newest.end
     keys = [record.key for record in newest.records]
     assert len(keys) == len(set(keys)), keys
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -228,7 +228,7 @@
         )
         async with anyio.create_task_group() as tasks:
             for number in range(30):
-                tasks.start_soon(keeper.carry_out, StopTask("b1", f"1.0.0.{number}", 1))
+                tasks.start_soon(keeper.execute, StopTask("b1", f"1.0.0.{number}", 1))
 
     anyio.run(wave)
 
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -13,7 +13,7 @@
 from granitetrestle.decisions import StartTask
 from granitetrestle.interfaces import BoxEntry
 from granitetrestle.interfaces import BoxReplaced
-from granitetrestle.interfaces import Newest
+from granitetrestle.interfaces import NewestRecords
 from granitetrestle.interfaces import PollResult
 from granitetrestle.interfaces import RunningTask
 from granitetrestle.interfaces import StoreUnavailable
@@ -43,7 +43,7 @@
 
 
 def refused(whole, log):
-    return StoreUnavailable("503", undone=True)
+    return StoreUnavailable("503", not_applied=True)
 
 
 def no_tasks(whole, log):
@@ -223,7 +223,7 @@
 
 @then("the first process ends its try within {seconds:g} second")
 def ends_its_try(context, seconds):
-    assert not isinstance(context.outcome, Newest), context.outcome
+    assert not isinstance(context.outcome, NewestRecords), context.outcome
     assert context.took_s < seconds, f"{context.took_s:.2f} s: {context.outcome}"
 
 
--- a/src/granitetrestle/boxpoller.py
+++ b/src/granitetrestle/boxpoller.py
@@ -7,8 +7,8 @@
 import anyio
 
 from .commandwindow import BEST_EFFORT
-from .commandwindow import FIRST
 from .commandwindow import SHORT
+from .commandwindow import URGENT
 from .commandwindow import CommandWindow
 from .decisions import Decision
 from .decisions import PaceTask
@@ -33,16 +33,16 @@
 
 # How long a look waits for ends to become durable before it goes out all the same,
 # to renew the lease.
-DURABLE_WAIT_S: t.Final = 0.8
+ENDS_DURABLE_TIMEOUT_S: t.Final = 0.8
 # Pauses after a look that failed, growing to the last.
-PAUSES_S: t.Final = (0.1, 0.2, 0.4, 0.8)
+RETRY_DELAYS_S: t.Final = (0.1, 0.2, 0.4, 0.8)
 # From this lag of its own event loop on a decider spaces its looks; by so many times
 # what the lag exceeds that, and never more than lets a lease of some seconds lapse.
-BUSY_LAG_S: t.Final = 0.04
-WAY_FACTOR: t.Final = 6.0
-MOST_WAY_S: t.Final = 0.8
+LAG_THRESHOLD_S: t.Final = 0.04
+LAG_DELAY_FACTOR: t.Final = 6.0
+MAX_LAG_DELAY_S: t.Final = 0.8
 # An order that was not answered is given again, then counts as in doubt.
-COMMAND_TRIES: t.Final = 3
+MAX_COMMAND_ATTEMPTS: t.Final = 3
 
 
 class BoxPoller:
@@ -81,14 +81,14 @@
         self._leader_lease = leader_lease
         self._metrics = metrics
         self._durable = anyio.Event()
-        self._work_came = anyio.Event()
-        self._left = anyio.CancelScope()
+        self._task_assigned = anyio.Event()
+        self._scope = anyio.CancelScope()
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """Look no more."""
-        self._left.cancel()
+        self._scope.cancel()
 
-    def ends_durable(self, number: int) -> None:
+    def mark_ends_durable(self, number: int) -> None:
         """The box may forget ends up to ``number``."""
         box = self._scheduler.state.boxes.get(self._incarnation)
         if box is not None:
@@ -97,29 +97,31 @@
 
     async def run(self) -> None:
         """Look at the box until it is left."""
-        with self._left:
-            await self._poll_on()
-        self._budget.forget(self._incarnation)
+        with self._scope:
+            await self._poll_repeatedly()
+        self._budget.remove(self._incarnation)
 
-    async def _poll_on(self) -> None:
+    async def _poll_repeatedly(self) -> None:
         failures = 0
         while (parameters := await self._poll()) is not None:
             box = self._scheduler.state.boxes.get(self._incarnation)
             if box is None:
                 return
             if box.silent_since is not None:
-                await anyio.sleep(PAUSES_S[min(failures, len(PAUSES_S) - 1)])
+                await anyio.sleep(
+                    RETRY_DELAYS_S[min(failures, len(RETRY_DELAYS_S) - 1)]
+                )
                 failures += 1
                 continue
             failures = 0
             if box.known > box.durable_known:
-                with anyio.move_on_after(DURABLE_WAIT_S):
+                with anyio.move_on_after(ENDS_DURABLE_TIMEOUT_S):
                     await self._durable.wait()
             self._durable = anyio.Event()
-            await self._pause(parameters)
-            await self._give_way()
+            await self._wait_for_next_poll(parameters)
+            await self._delay_when_lagging()
 
-    async def _pause(self, parameters: PollParameters) -> None:
+    async def _wait_for_next_poll(self, parameters: PollParameters) -> None:
         """Ask nothing for a while; a box that gets work is looked at again at once, also
         if it came while the last look was under way: its lease must not lapse."""
         if not parameters.pause_s:
@@ -128,47 +130,51 @@
         busy = box is not None and bool(box.tasks)
         if busy and parameters.idle:
             return
-        self._work_came = anyio.Event()
+        self._task_assigned = anyio.Event()
         with anyio.move_on_after(parameters.pause_s):
             if busy:
                 await anyio.sleep(parameters.pause_s)
             else:
-                await self._work_came.wait()
+                await self._task_assigned.wait()
 
-    async def _give_way(self) -> None:
+    async def _delay_when_lagging(self) -> None:
         """Look less often while this process can't keep up: orders come first, and ends
         that are seen a little later cost less than starts that wait."""
         lag_s = self._lag.lag_s
-        if lag_s > BUSY_LAG_S:
-            await anyio.sleep(min(MOST_WAY_S, WAY_FACTOR * (lag_s - BUSY_LAG_S)))
+        if lag_s > LAG_THRESHOLD_S:
+            await anyio.sleep(
+                min(MAX_LAG_DELAY_S, LAG_DELAY_FACTOR * (lag_s - LAG_THRESHOLD_S))
+            )
 
     async def _poll(self) -> PollParameters | None:
         """Look once; returns how, or ``None`` if the box is not ours any more."""
         box = self._scheduler.state.boxes.get(self._incarnation)
         if box is None:
             return None
-        kind = self._budget.opening_kind(box)
-        if kind is None:
+        priority = self._budget.contact_priority(box)
+        if priority is None:
             parameters = self._budget.parameters(box)
-            return parameters if await self._poll_once(parameters.waits) else None
-        async with self._budget.opening.turn(kind, self._incarnation) as turn:
-            if not await self._poll_once(waits=False):
+            return parameters if await self._poll_once(parameters.long_poll) else None
+        async with self._budget.contact_window.turn(
+            priority, self._incarnation
+        ) as turn:
+            if not await self._poll_once(long_poll=False):
                 return None
             box = self._scheduler.state.boxes.get(self._incarnation)
             answered = box is not None and box.silent_since is None
-            turn.ended(answered, time.monotonic())
+            turn.finish(answered, time.monotonic())
         return PollParameters(False, 0.0, False)
 
-    async def _poll_once(self, waits: bool) -> bool:
+    async def _poll_once(self, long_poll: bool) -> bool:
         sent = time.monotonic()
         plan = self._scheduler.fleet.plan_poll(
             self._incarnation, sent, self._leader_lease.may_renew()
         )
         if plan is None:
             return False
-        wait_ms = plan.wait_ms if waits else 0
+        wait_ms = plan.wait_ms if long_poll else 0
         if wait_ms:
-            self._budget.began()
+            self._budget.add_long_poll()
         try:
             outcome = await self._boxes.poll(
                 self._incarnation,
@@ -180,7 +186,7 @@
             )
         finally:
             if wait_ms:
-                self._budget.ended()
+                self._budget.remove_long_poll()
         now = time.monotonic()
         self._metrics.polls += 1
         if isinstance(outcome, PollResult) and outcome.ended:
@@ -190,106 +196,108 @@
         )
         return True
 
-    async def carry_out(self, order: StartTask | StopTask | PaceTask) -> None:
+    async def execute(self, command: StartTask | StopTask | PaceTask) -> None:
         """Send an order, and let the decider know what came of it."""
-        if isinstance(order, StartTask):
-            await self._start(order)
-        elif isinstance(order, StopTask):
-            await self._stop(order)
+        if isinstance(command, StartTask):
+            await self._start(command)
+        elif isinstance(command, StopTask):
+            await self._stop(command)
         else:
-            await self._pace(order)
+            await self._pace(command)
 
-    async def _start(self, order: StartTask) -> None:
-        self._work_came.set()
+    async def _start(self, command: StartTask) -> None:
+        self._task_assigned.set()
 
         async def send() -> CommandOutcome:
             box = self._scheduler.state.boxes.get(self._incarnation)
-            until = None
-            if not self._scheduler.start_wanted(order, time.monotonic()):
+            lease_ends_ms = None
+            if not self._scheduler.start_wanted(command, time.monotonic()):
                 return CommandNotSent("withdrawn")
             if box is not None:
-                until = self._scheduler.fleet.lease_until(box, time.monotonic())
-            if until is None:
+                lease_ends_ms = self._scheduler.fleet.lease_until(box, time.monotonic())
+            if lease_ends_ms is None:
                 return CommandNotSent("no lease can be given")
             self._metrics.observe("start_right_age", self._leader_lease.age_s())
             return await self._boxes.start(
-                self._order(order),
+                self._task_command(command),
                 self._epoch,
-                order.spec,
-                until,
-                order.checkpoint,
-                order.ticket,
+                command.spec,
+                lease_ends_ms,
+                command.checkpoint,
+                command.ticket,
             )
 
         began = time.monotonic()
-        outcome = await self._try(send, BEST_EFFORT if order.best_effort else SHORT)
+        outcome = await self._send_with_retries(
+            send, BEST_EFFORT if command.best_effort else SHORT
+        )
         now = time.monotonic()
         self._metrics.observe("order", now - began)
         self._apply(
             self._scheduler.start_answered(
-                self._incarnation, order.task, order.run, outcome, now
+                self._incarnation, command.task, command.run, outcome, now
             )
         )
 
-    async def _stop(self, order: StopTask) -> None:
+    async def _stop(self, command: StopTask) -> None:
         async def send() -> CommandOutcome:
-            return await self._boxes.stop(self._order(order), self._epoch)
+            return await self._boxes.stop(self._task_command(command), self._epoch)
 
-        outcome = await self._try(send, FIRST)
+        outcome = await self._send_with_retries(send, URGENT)
         self._apply(
             self._scheduler.stop_answered(
-                self._incarnation, order.task, order.run, outcome, time.monotonic()
+                self._incarnation, command.task, command.run, outcome, time.monotonic()
             )
         )
 
-    async def _pace(self, order: PaceTask) -> None:
+    async def _pace(self, command: PaceTask) -> None:
         async def send() -> CommandOutcome:
             return await self._boxes.pace(
-                self._order(order), self._epoch, order.percent
+                self._task_command(command), self._epoch, command.percent
             )
 
-        if isinstance(await self._send(send, FIRST), BoxNoAnswer):
-            self._scheduler.pace_unanswered(order)
+        if isinstance(await self._send_once(send, URGENT), BoxNoAnswer):
+            self._scheduler.pace_unanswered(command)
 
-    def _order(self, order: StartTask | StopTask | PaceTask) -> TaskCommand:
-        return TaskCommand(self._incarnation, self._address, order.task, order.run)
+    def _task_command(self, command: StartTask | StopTask | PaceTask) -> TaskCommand:
+        return TaskCommand(self._incarnation, self._address, command.task, command.run)
 
-    async def _try(
-        self, send: t.Callable[[], t.Awaitable[CommandOutcome]], kind: int
+    async def _send_with_retries(
+        self, send: t.Callable[[], t.Awaitable[CommandOutcome]], priority: int
     ) -> CommandOutcome:
-        doubted = sent = False
+        unanswered = sent = False
         outcome: CommandOutcome = BoxNoAnswer("not sent")
-        for _ in range(COMMAND_TRIES):
-            outcome = await self._send(send, kind)
+        for _ in range(MAX_COMMAND_ATTEMPTS):
+            outcome = await self._send_once(send, priority)
             if not isinstance(outcome, BoxNoAnswer):
                 break
-            doubted = True
+            unanswered = True
             sent = sent or outcome.sent
         if isinstance(outcome, BoxNoAnswer):
             return outcome._replace(sent=sent)
         if isinstance(outcome, BoxReplaced):
             return BoxReplaced(reached=sent)
-        return self._doubted(outcome) if doubted else outcome
+        return self._after_lost_attempt(outcome) if unanswered else outcome
 
-    async def _send(
-        self, send: t.Callable[[], t.Awaitable[CommandOutcome]], kind: int
+    async def _send_once(
+        self, send: t.Callable[[], t.Awaitable[CommandOutcome]], priority: int
     ) -> CommandOutcome:
         # A stop ends a run for good whoever decides; a start begins one.
-        rests_on_right = kind != FIRST
+        needs_leader_lease = priority != URGENT
         while True:
-            if rests_on_right:
+            if needs_leader_lease:
                 await self._leader_lease.wait_until_valid()
-            async with self._window.turn(kind, self._incarnation) as turn:
-                if rests_on_right and not self._leader_lease.is_valid():
+            async with self._window.turn(priority, self._incarnation) as turn:
+                if needs_leader_lease and not self._leader_lease.is_valid():
                     # Others have their turn meanwhile: without this a pace waited too.
                     continue
                 outcome = await send()
                 if not isinstance(outcome, CommandNotSent):
-                    turn.ended(not isinstance(outcome, BoxNoAnswer), time.monotonic())
+                    turn.finish(not isinstance(outcome, BoxNoAnswer), time.monotonic())
                 return outcome
 
     @staticmethod
-    def _doubted(outcome: CommandOutcome) -> CommandOutcome:
+    def _after_lost_attempt(outcome: CommandOutcome) -> CommandOutcome:
         """A refusal does not prove that an earlier try will not be carried out."""
         if isinstance(outcome, CommandNotSent):
             return BoxNoAnswer(f"{outcome.reason} after a try without answer")
--- a/src/granitetrestle/feeds.py
+++ b/src/granitetrestle/feeds.py
@@ -16,7 +16,7 @@
 from .interfaces import BoxEntry
 from .interfaces import Config
 from .interfaces import HallDirective
-from .interfaces import Newest
+from .interfaces import NewestRecords
 from .interfaces import NewestUnavailable
 from .interfaces import Record
 from .interfaces import Records
@@ -75,14 +75,14 @@
         self._from = 0
 
     @abc.abstractmethod
-    def begin(self, newest: Newest) -> None:
+    def begin(self, newest: NewestRecords) -> None:
         """Take up all there is."""
 
     @abc.abstractmethod
     async def follow(self) -> None:
         """Read on until cancelled."""
 
-    async def _read_anew(self, topic: str) -> Newest | None:
+    async def _read_anew(self, topic: str) -> NewestRecords | None:
         """Return all there is, or ``None`` if it can't be read, which is logged."""
         outcome = await read_newest(self._sources.store, topic, self._from)
         if isinstance(outcome, NewestUnavailable):
@@ -117,7 +117,7 @@
         """How many orders can't be read."""
         return len(self._unreadable)
 
-    def begin(self, newest: Newest) -> None:
+    def begin(self, newest: NewestRecords) -> None:
         """See :meth:`_Feed.begin`."""
         self._take(newest)
 
@@ -126,7 +126,7 @@
         store, topic = self._sources.store, self._sources.config_topic
         wait_s = CONFIG_WAIT_S
         while True:
-            outcome: Records | Newest | RecordsGone | StoreUnavailable | None
+            outcome: Records | NewestRecords | RecordsGone | StoreUnavailable | None
             outcome = await store.read(topic, self._from, wait_s)
             if isinstance(outcome, RecordsGone):
                 outcome = await self._read_anew(topic)
@@ -138,12 +138,12 @@
             self._take(outcome)
             wait_s = CONFIG_WAIT_S
 
-    def _take(self, outcome: Newest | Records) -> None:
+    def _take(self, outcome: NewestRecords | Records) -> None:
         """Put what operators ask in force; the newest of all keys are all there is."""
         self._from = outcome.end
         halls, unread = self._decode(outcome.records)
         evacuation, now = self._scheduler.evacuation, time.monotonic()
-        if isinstance(outcome, Newest):
+        if isinstance(outcome, NewestRecords):
             self._unreadable = unread
             self._apply(evacuation.replace_directives(halls, unread, now))
         else:
@@ -189,11 +189,11 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def begin(self, newest: Newest) -> None:
+    def begin(self, newest: NewestRecords) -> None:
         """See :meth:`_Feed.begin`."""
         run_to_completion(self.beginning(newest))
 
-    def beginning(self, newest: Newest) -> SlicedWork[None]:
+    def beginning(self, newest: NewestRecords) -> SlicedWork[None]:
         """Take up all there is, a box at a step."""
         self._from = newest.end
         yield from self._taking(newest.records)
@@ -203,7 +203,7 @@
         store, topic = self._sources.store, self._sources.box_topic
         while True:
             await anyio.sleep(LIST_EVERY_S)
-            outcome: Records | Newest | RecordsGone | StoreUnavailable | None
+            outcome: Records | NewestRecords | RecordsGone | StoreUnavailable | None
             outcome = await store.read(topic, self._from, 0.0)
             if isinstance(outcome, RecordsGone):
                 outcome = await self._read_anew(topic)
@@ -238,7 +238,9 @@
         config = self._scheduler.state.config
         if config is None:
             return {entry.incarnation: entry for entry in self._entries.values()}
-        services = config.guarded.keys() | {queue.service for queue in config.queues}
+        services = config.enforces_capacity.keys() | {
+            queue.service for queue in config.queues
+        }
         in_use = self._scheduler.state.boxes
         usable: dict[str, BoxEntry] = {}
         for key, entry in self._entries.items():
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -386,8 +386,8 @@
             if task is None or task.run != row.run:
                 effects += self._foreign(box, name, row.run)
                 continue
-            if row.saved:
-                task.checkpoint = row.saved
+            if row.checkpoint:
+                task.checkpoint = row.checkpoint
             if task.state == STARTING:
                 task.runs(now)
                 task.paced_at = now
--- a/src/granitetrestle/interfaces.py
+++ b/src/granitetrestle/interfaces.py
@@ -21,7 +21,7 @@
     "HallDirective",
     "PollResult",
     "PollOutcome",
-    "Newest",
+    "NewestRecords",
     "NumberTaken",
     "NewestPage",
     "NewestUnavailable",
@@ -83,10 +83,10 @@
     """
 
     reason: str
-    undone: bool = False
+    not_applied: bool = False
 
 
-class Newest(t.NamedTuple):
+class NewestRecords(t.NamedTuple):
     """The newest record of each key, and the offset at which to read on."""
 
     records: tuple[Record, ...]
@@ -205,7 +205,7 @@
     service: str
     priority: int
     max_attempts: int
-    stretch: float
+    objective_factor: float
     target_ms: float
     advised: bool = False
     advice_valid_ms: float = 0.0
@@ -219,7 +219,7 @@
 
     version: int
     queues: tuple[Queue, ...]
-    guarded: t.Mapping[str, bool]
+    enforces_capacity: t.Mapping[str, bool]
     max_body_bytes: int
 
 
@@ -306,9 +306,9 @@
 
     task: str
     run: int
-    saved: str
+    checkpoint: str
     percent: int
-    figure: float
+    measurement: float
 
 
 class EndedRun(t.NamedTuple):
@@ -322,7 +322,7 @@
     task: str
     run: int
     how: str
-    saved: str
+    checkpoint: str
 
 
 class PollResult(t.NamedTuple):
@@ -376,11 +376,11 @@
         incarnation: str,
         address: str,
         token: int,
-        known: int,
+        acknowledged: int,
         lease_ends_ms: int | None,
         wait_ms: int,
     ) -> PollOutcome:
-        """Confirm ends up to ``known``, extend the lease, return what runs.
+        """Confirm ends up to ``acknowledged``, extend the lease, return what runs.
 
         :param lease_ends_ms: end of the lease of all that runs, on the box's clock.
         :param wait_ms: how long the answer may wait for an end.
@@ -389,7 +389,7 @@
     @abc.abstractmethod
     async def start(
         self,
-        order: TaskCommand,
+        command: TaskCommand,
         token: int,
         spec: str,
         lease_ends_ms: int,
@@ -399,11 +399,11 @@
         """Start a run of a task."""
 
     @abc.abstractmethod
-    async def stop(self, order: TaskCommand, token: int) -> CommandOutcome:
+    async def stop(self, command: TaskCommand, token: int) -> CommandOutcome:
         """Stop a run, or see to it that it never begins."""
 
     @abc.abstractmethod
     async def pace(
-        self, order: TaskCommand, token: int, percent: int
+        self, command: TaskCommand, token: int, percent: int
     ) -> CommandOutcome:
         """Let a run work at a share of its speed."""
--- a/src/granitetrestle/leaderlease.py
+++ b/src/granitetrestle/leaderlease.py
@@ -80,7 +80,7 @@
         answered a moment ago. The age counts from the answer: otherwise a store that
         takes longer for an append than the maximum age would hold back every start."""
         status = self._journal.status
-        proof_required_since = max(self._invalidated_at, self._lag.stood_still_until)
+        proof_required_since = max(self._invalidated_at, self._lag.stalled_until)
         answered_s_ago = self._journal.now() - status.answered_at
         return (
             status.confirmed_at >= proof_required_since
--- a/src/granitetrestle/looplag.py
+++ b/src/granitetrestle/looplag.py
@@ -9,14 +9,14 @@
 
 __all__ = ["LoopLag"]
 
-EVERY_S: t.Final = 0.05
+SAMPLE_INTERVAL_S: t.Final = 0.05
 # The lag is forgotten by this share at each reading, so that one long pass counts for
 # about a second.
-KEEP: t.Final = 0.9
+LAG_DECAY_FACTOR: t.Final = 0.9
 
 
 # A process that has not turned for so long has stood still: others take it for dead.
-STILL_S: t.Final = 0.8
+STALL_THRESHOLD_S: t.Final = 0.8
 
 
 class LoopLag:
@@ -27,27 +27,29 @@
 
     def __init__(self, clock: t.Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
-        self._turned_at = clock()
-        self._stood_still_until = -math.inf
+        self._sampled_at = clock()
+        self._stalled_until = -math.inf
         self.lag_s = 0.0
 
     @property
-    def stood_still_until(self) -> float:
+    def stalled_until(self) -> float:
         """When this process last went on after it had stood still, on its clock; now, if
         that was just before, so that nothing has measured it yet."""
         now = self._clock()
-        return now if now - self._turned_at > STILL_S else self._stood_still_until
+        return (
+            now if now - self._sampled_at > STALL_THRESHOLD_S else self._stalled_until
+        )
 
     async def run(self) -> None:
         """Measure until cancelled."""
         while True:
-            began = self._clock()
-            await anyio.sleep(EVERY_S)
-            self.took(self._clock() - began)
-
-    def took(self, seconds: float) -> None:
-        """Take up how long a sleep of ``EVERY_S`` took."""
-        self._turned_at = self._clock()
-        if seconds > STILL_S:
-            self._stood_still_until = self._turned_at
-        self.lag_s = max(seconds - EVERY_S, self.lag_s * KEEP)
+            started_at = self._clock()
+            await anyio.sleep(SAMPLE_INTERVAL_S)
+            self.record_sleep(self._clock() - started_at)
+
+    def record_sleep(self, seconds: float) -> None:
+        """Take up how long a sleep of ``SAMPLE_INTERVAL_S`` took."""
+        self._sampled_at = self._clock()
+        if seconds > STALL_THRESHOLD_S:
+            self._stalled_until = self._sampled_at
+        self.lag_s = max(seconds - SAMPLE_INTERVAL_S, self.lag_s * LAG_DECAY_FACTOR)
--- a/src/granitetrestle/newestread.py
+++ b/src/granitetrestle/newestread.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from .interfaces import Newest
 from .interfaces import NewestPage
+from .interfaces import NewestRecords
 from .interfaces import NewestUnavailable
 from .interfaces import Record
 from .interfaces import Store
@@ -41,7 +41,7 @@
         self._after: str | None = None
         self._pages = 0
 
-    async def resume(self, timeout_s: float) -> Newest | NewestUnavailable:
+    async def resume(self, timeout_s: float) -> NewestRecords | NewestUnavailable:
         """Read until the last page, or one that fails.
 
         :param timeout_s: for each page.
@@ -56,7 +56,7 @@
                 return self._failed(NO_PROGRESS)
             end = self._add_page(page)
             if not page.more:
-                return Newest(tuple(self._records), end)
+                return NewestRecords(tuple(self._records), end)
 
     def _repeats_a_key(self, page: NewestPage) -> bool:
         return not page.records or page.records[-1].key in self._last_keys
@@ -79,7 +79,7 @@
 
 async def read_newest(
     store: Store, topic: str, min_end: int = 0
-) -> Newest | NewestUnavailable:
+) -> NewestRecords | NewestUnavailable:
     """Return the newest record of each key, unless one page fails again and again.
 
     :param from_end: how far the topic was read before; nothing older is taken.
@@ -88,7 +88,7 @@
     attempts = pages = 0
     while True:
         outcome = await reader.resume(PAGE_TIMEOUT_S)
-        if isinstance(outcome, Newest):
+        if isinstance(outcome, NewestRecords):
             return outcome
         attempts = attempts + 1 if outcome.pages == pages else 1
         pages = outcome.pages
--- a/src/granitetrestle/pacing.py
+++ b/src/granitetrestle/pacing.py
@@ -89,8 +89,8 @@
     _update_best_effort_shares(box, elapsed_s, interference)
     for name, row in box.running.items():
         task = box.serving.get(name)
-        if task is not None and row.figure:
-            level = row.figure / task.spec.target_ms
+        if task is not None and row.measurement:
+            level = row.measurement / task.spec.target_ms
             _observe_task(box, task, level, loads, interference, now)
 
 
@@ -141,7 +141,7 @@
         if task is not None:
             image = task.spec.image
             interference.add_best_effort_image(image)
-            measured[image] = measured.get(image, 0.0) + row.figure / box.entry.cpu
+            measured[image] = measured.get(image, 0.0) + row.measurement / box.entry.cpu
     previous = sum(box.fill_seen.values())
     decay = math.exp(-elapsed_s / MEASUREMENT_LAG_S)
     for image in {*measured, *box.fill_seen}:
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -6,7 +6,7 @@
 import typing as t
 
 from .books import ShardBook
-from .boxhealth import note_health
+from .boxhealth import update_quarantine
 from .capacity import Assignment
 from .capacity import BoxState
 from .errors import InvariantViolated
@@ -208,7 +208,7 @@
             self._order_cleanup(
                 book.index.boxes[name], task.task, fact.attempt, "forget"
             )
-            note_health(book.index.boxes[name], job.account, fact.ending, now)
+            update_quarantine(book.index.boxes[name], job.account, fact.ending, now)
         book.doubts.discard(task.task)
         book.evicting_for.pop(task.task, None)
         if not task.ended:
--- a/src/granitetrestle/platform/boxes.py
+++ b/src/granitetrestle/platform/boxes.py
@@ -184,12 +184,12 @@
         incarnation: str,
         address: str,
         token: int,
-        known: int,
+        acknowledged: int,
         lease_ends_ms: int | None,
         wait_ms: int,
     ) -> PollOutcome:
         """See :meth:`.interfaces.BoxCalls.poll`."""
-        body: dict[str, t.Any] = {"fencing_token": token, "last_seen": known}
+        body: dict[str, t.Any] = {"fencing_token": token, "last_seen": acknowledged}
         if lease_ends_ms is not None:
             body["until_ms"] = lease_ends_ms
         if wait_ms:
@@ -203,7 +203,7 @@
             request,
             timeout_s,
             limit=ANSWER_BYTES,
-            harmless=not known and lease_ends_ms is None,
+            harmless=not acknowledged and lease_ends_ms is None,
             tells=True,
         )
         if isinstance(reply, CallFailure):
@@ -217,7 +217,7 @@
 
     async def start(
         self,
-        order: TaskCommand,
+        command: TaskCommand,
         token: int,
         spec: str,
         lease_ends_ms: int,
@@ -225,34 +225,36 @@
         ticket: str,
     ) -> CommandOutcome:
         """See :meth:`.interfaces.BoxCalls.start`."""
-        body = _order(order, token)
+        body = _order(command, token)
         body["spec"] = spec
         body["until_ms"] = lease_ends_ms
         if checkpoint:
             body["checkpoint"] = checkpoint
         if ticket:
             body["ticket"] = ticket
-        return await self._order("/api/run-start", order, token, body)
+        return await self._order("/api/run-start", command, token, body)
 
-    async def stop(self, order: TaskCommand, token: int) -> CommandOutcome:
+    async def stop(self, command: TaskCommand, token: int) -> CommandOutcome:
         """See :meth:`.interfaces.BoxCalls.stop`."""
-        return await self._order("/api/run-stop", order, token, _order(order, token))
+        return await self._order(
+            "/api/run-stop", command, token, _order(command, token)
+        )
 
     async def pace(
-        self, order: TaskCommand, token: int, percent: int
+        self, command: TaskCommand, token: int, percent: int
     ) -> CommandOutcome:
         """See :meth:`.interfaces.BoxCalls.pace`."""
-        body = _order(order, token)
+        body = _order(command, token)
         body["percent"] = percent
-        return await self._order("/api/pace", order, token, body)
+        return await self._order("/api/pace", command, token, body)
 
     async def _order(
-        self, path: str, order: TaskCommand, token: int, body: dict[str, t.Any]
+        self, path: str, command: TaskCommand, token: int, body: dict[str, t.Any]
     ) -> CommandOutcome:
-        party = _Incarnation(order.incarnation, token)
+        party = _Incarnation(command.incarnation, token)
         request = Request(path, party.headers, _encode(body))
         reply = await self._caller.call_party(
-            party, order.address, request, COMMAND_TIMEOUT_S, limit=ANSWER_BYTES
+            party, command.address, request, COMMAND_TIMEOUT_S, limit=ANSWER_BYTES
         )
         if isinstance(reply, CallFailure):
             return _failed(reply)
@@ -287,8 +289,8 @@
     return BoxReplaced()
 
 
-def _order(order: TaskCommand, token: int) -> dict[str, t.Any]:
-    return {"task": order.task, "run": order.run, "fencing_token": token}
+def _order(command: TaskCommand, token: int) -> dict[str, t.Any]:
+    return {"task": command.task, "run": command.run, "fencing_token": token}
 
 
 def _refused(reply: Reply) -> CommandRejected | BoxReplaced | BoxNoAnswer:
--- a/src/granitetrestle/platform/front.py
+++ b/src/granitetrestle/platform/front.py
@@ -179,8 +179,10 @@
     """
     raw = _configs.decode(data)
     queues = tuple(map(_queue, raw.routes))
-    guarded = {service.name: service.enforces_capacity for service in raw.services}
-    return Config(raw.version, queues, guarded, raw.limits.max_body_bytes)
+    enforces_capacity = {
+        service.name: service.enforces_capacity for service in raw.services
+    }
+    return Config(raw.version, queues, enforces_capacity, raw.limits.max_body_bytes)
 
 
 def _queue(route: _Route) -> Queue:
@@ -191,7 +193,7 @@
         service=route.service,
         priority=route.priority,
         max_attempts=route.max_attempts,
-        stretch=route.extension,
+        objective_factor=route.extension,
         target_ms=route.target_latency_ms,
         advised=route.advice is not None,
         advice_valid_ms=route.advice.valid_ms if route.advice else 0.0,
--- a/src/granitetrestle/platform/store.py
+++ b/src/granitetrestle/platform/store.py
@@ -107,7 +107,7 @@
             return Fenced()
         if reply.status == CONFLICT and answer.reason == "seq":
             return NumberTaken(answer.call_seq)
-        return StoreUnavailable(f"{reply.status} {reply.body[:80]!r}", undone=True)
+        return StoreUnavailable(f"{reply.status} {reply.body[:80]!r}", not_applied=True)
 
     async def _append(
         self,
@@ -144,7 +144,7 @@
         if isinstance(reply, StoreUnavailable):
             return reply
         if reply.status != OK:
-            return StoreUnavailable(str(reply.status), undone=True)
+            return StoreUnavailable(str(reply.status), not_applied=True)
         try:
             page = _pages.decode(reply.body)
         except (msgspec.DecodeError, UnicodeDecodeError):
@@ -166,7 +166,7 @@
         if reply.status == GONE:
             return RecordsGone()
         if reply.status != OK:
-            return StoreUnavailable(str(reply.status), undone=True)
+            return StoreUnavailable(str(reply.status), not_applied=True)
         try:
             records = decode_records(reply.body[16:])
         except (struct.error, IndexError):
@@ -197,7 +197,7 @@
         )
         if isinstance(reply, CallFailure):
             proof = reply.proof
-            return StoreUnavailable(proof.detail, undone=not proof.may_have_run)
+            return StoreUnavailable(proof.detail, not_applied=not proof.may_have_run)
         return reply
 
 
--- a/src/granitetrestle/pollbudget.py
+++ b/src/granitetrestle/pollbudget.py
@@ -11,8 +11,8 @@
 
 from .boxes import BoxView
 from .commandwindow import BEST_EFFORT
-from .commandwindow import FIRST
 from .commandwindow import SHORT
+from .commandwindow import URGENT
 from .commandwindow import CommandWindow
 
 __all__ = ["PollBudget", "PollParameters"]
@@ -20,20 +20,20 @@
 # Parts of a process's connections that looks may hold while they wait: at boxes that run
 # nothing, and in all. The rest is for orders (256 at once), peers, which take up to three
 # descriptors each, and clients.
-IDLE_PART: t.Final = 0.1
-BUSY_PART: t.Final = 0.4
+MAX_IDLE_CONNECTION_SHARE: t.Final = 0.1
+MAX_CONNECTION_SHARE: t.Final = 0.4
 # Without a look that waits, the end of a task is seen this much later at most.
-BUSY_PAUSE_S: t.Final = 0.8
+BUSY_POLL_INTERVAL_S: t.Final = 0.8
 # Looks a second at boxes that run nothing, all together: a small part of what the smallest
 # process can make. The store's list says sooner which of them are gone.
-IDLE_POLLS_PER_S: t.Final = 60.0
-IDLE_PAUSE_S: t.Final = 2.0
+MAX_IDLE_POLLS_PER_S: t.Final = 60.0
+MIN_IDLE_POLL_INTERVAL_S: t.Final = 2.0
 
 
 # Answers within half of the time after which first looks are given up show no overload,
 # also where a process gets its processor in steps of a tenth of a second.
-OPENING_SLOW_S: t.Final = 0.35
-OPENING_AT_LEAST: t.Final = 16
+MIN_SLOW_CONTACT_S: t.Final = 0.35
+MIN_CONTACT_WINDOW_SIZE: t.Final = 16
 
 
 class PollParameters(t.NamedTuple):
@@ -44,22 +44,24 @@
     :param idle: whether this rests on the box running nothing.
     """
 
-    waits: bool
+    long_poll: bool
     pause_s: float
     idle: bool
 
 
-class OpeningWindow(CommandWindow):
+class ContactWindow(CommandWindow):
     """Looks that begin. A box that is gone holds its turn until it is given up, but costs
     nothing meanwhile: as long as the others answer quickly, more may begin beside it."""
 
     def __init__(self) -> None:
-        super().__init__(slow_floor_s=OPENING_SLOW_S, at_least=OPENING_AT_LEAST)
-
-    def unanswered(self) -> None:
-        """See :meth:`.CommandWindow.unanswered`."""
-        if self._slow:
-            super().unanswered()
+        super().__init__(
+            min_slow_answer_s=MIN_SLOW_CONTACT_S, min_size=MIN_CONTACT_WINDOW_SIZE
+        )
+
+    def record_no_answer(self) -> None:
+        """See :meth:`.CommandWindow.record_no_answer`."""
+        if self._last_answer_slow:
+            super().record_no_answer()
         else:
             self._grow(1.0)
 
@@ -72,52 +74,54 @@
 
     def __init__(self, connections: int) -> None:
         self._connections = connections
-        self._waiting = 0
+        self._long_polls = 0
         # Boxes whose looks don't wait; they share the rate of looks.
-        self._paused: set[str] = set()
-        self._opening: CommandWindow = OpeningWindow()
+        self._paused_boxes: set[str] = set()
+        self._contact_window: CommandWindow = ContactWindow()
 
     @property
-    def waiting(self) -> int:
+    def long_polls(self) -> int:
         """Looks under way whose answer may wait."""
-        return self._waiting
+        return self._long_polls
 
     @property
-    def opening(self) -> CommandWindow:
+    def contact_window(self) -> CommandWindow:
         """Lets first looks, and those at silent boxes, begin."""
-        return self._opening
+        return self._contact_window
 
     @staticmethod
-    def opening_kind(box: BoxView) -> int | None:
+    def contact_priority(box: BoxView) -> int | None:
         """Return the class in which a look at ``box`` has to wait for its turn to begin,
         or ``None`` if it needs no turn."""
         if box.silent_since is not None:
             return BEST_EFFORT
         if box.adopted:
             return None
-        return FIRST if box.tasks else SHORT
+        return URGENT if box.tasks else SHORT
 
     def parameters(self, box: BoxView) -> PollParameters:
         """Return how the next look at an adopted box is made."""
-        part = BUSY_PART if box.tasks else IDLE_PART
-        if self._waiting < part * self._connections:
-            self._paused.discard(box.incarnation)
+        share = MAX_CONNECTION_SHARE if box.tasks else MAX_IDLE_CONNECTION_SHARE
+        if self._long_polls < share * self._connections:
+            self._paused_boxes.discard(box.incarnation)
             return PollParameters(True, 0.0, not box.tasks)
         if box.tasks:
-            self._paused.discard(box.incarnation)
-            return PollParameters(False, BUSY_PAUSE_S, False)
-        self._paused.add(box.incarnation)
-        share_s = len(self._paused) / IDLE_POLLS_PER_S
-        return PollParameters(False, max(IDLE_PAUSE_S, math.ceil(share_s)), True)
-
-    def forget(self, incarnation: str) -> None:
+            self._paused_boxes.discard(box.incarnation)
+            return PollParameters(False, BUSY_POLL_INTERVAL_S, False)
+        self._paused_boxes.add(box.incarnation)
+        interval_s = len(self._paused_boxes) / MAX_IDLE_POLLS_PER_S
+        return PollParameters(
+            False, max(MIN_IDLE_POLL_INTERVAL_S, math.ceil(interval_s)), True
+        )
+
+    def remove(self, incarnation: str) -> None:
         """A box is not looked at any more."""
-        self._paused.discard(incarnation)
+        self._paused_boxes.discard(incarnation)
 
-    def began(self) -> None:
+    def add_long_poll(self) -> None:
         """Count a look whose answer may wait."""
-        self._waiting += 1
+        self._long_polls += 1
 
-    def ended(self) -> None:
+    def remove_long_poll(self) -> None:
         """Count it as answered, or given up."""
-        self._waiting -= 1
+        self._long_polls -= 1
--- a/src/granitetrestle/progress.py
+++ b/src/granitetrestle/progress.py
@@ -55,8 +55,8 @@
             task.failed_runs |= {row.run}
             if current:
                 task.times.failed(now)
-        if row.saved:
-            task.checkpoint = row.saved
+        if row.checkpoint:
+            task.checkpoint = row.checkpoint
         if current:
             self.requeue(task, now)
         if task.failures >= self._attempts(workflow) and not workflow.terminal:
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -34,7 +34,7 @@
 from .interfaces import Advice
 from .interfaces import AdviceUnavailable
 from .interfaces import Config
-from .interfaces import Newest
+from .interfaces import NewestRecords
 from .interfaces import NewestUnavailable
 from .interfaces import Record
 from .jobcalls import JobCall
@@ -147,8 +147,8 @@
             "orders_waiting": float(self._window.waiting),
             "orders_at_once": float(self._window.size),
             "loop_lag_s": round(self._lag.lag_s, 3),
-            "looks_waiting": float(self._budget.waiting),
-            "looks_to_begin": float(self._budget.opening.waiting),
+            "looks_waiting": float(self._budget.long_polls),
+            "looks_to_begin": float(self._budget.contact_window.waiting),
             "halls_evacuated": float(len(self._scheduler.state.evacuated_halls)),
             "orders_unreadable": float(self._operators.unreadable),
             "log_end": float(self._journal.end or 0),
@@ -239,19 +239,19 @@
         )
         return True
 
-    async def _read_all(self) -> dict[str, Newest] | None:
+    async def _read_all(self) -> dict[str, NewestRecords] | None:
         """Return the newest records of each topic, or ``None`` if they can't be read."""
-        read: dict[str, Newest] = {}
+        read: dict[str, NewestRecords] = {}
         store = self._sources.store
         state = StateReader(store, self._taken, self._log)
 
         async def fetch(topic: str) -> None:
-            outcome: Newest | NewestUnavailable | StateUnavailable
+            outcome: NewestRecords | NewestUnavailable | StateUnavailable
             if topic == JOBS_TOPIC:
                 outcome = await state.run()
             else:
                 outcome = await read_newest(store, topic)
-            if not isinstance(outcome, Newest):
+            if not isinstance(outcome, NewestRecords):
                 self._log.event(
                     "take_over_failed",
                     epoch=self._epoch,
@@ -312,7 +312,9 @@
             self._loaded_at = now
             self._log.event("load", epoch=self._epoch, **self.load(now))
         wall_ms = time.time_ns() // 1_000_000
-        self._apply(self._scheduler.decide(now, wall_ms, self._window.room))
+        self._apply(
+            self._scheduler.decide(now, wall_ms, self._window.remaining_capacity)
+        )
         return self._scheduler.take_writes()
 
     def _apply(self, decisions: list[Decision]) -> None:
@@ -329,9 +331,9 @@
             elif isinstance(decision, LeaveBox):
                 keeper = self._keepers.pop(decision.incarnation, None)
                 if keeper is not None:
-                    keeper.leave()
+                    keeper.stop()
             elif isinstance(decision, WithdrawStarts):
-                self._window.release(decision.incarnations)
+                self._window.release_starts(decision.incarnations)
             elif isinstance(decision, PaceTask):
                 self._order(decision)
             elif isinstance(decision, AskAdvice):
@@ -383,13 +385,13 @@
             elif isinstance(decision, AcknowledgeEnds):
                 keeper = self._keepers.get(decision.incarnation)
                 if keeper is not None:
-                    keeper.ends_durable(decision.number)
+                    keeper.mark_ends_durable(decision.number)
 
     def _order(self, decision: StartTask | StopTask | PaceTask) -> None:
         keeper = self._keepers.get(decision.incarnation)
         if keeper is None or self._tasks is None:
             return
-        self._tasks.start_soon(keeper.carry_out, decision)
+        self._tasks.start_soon(keeper.execute, decision)
 
     def _answer(self, decision: AnswerCall) -> None:
         caller = self._callers.get(decision.request)
--- a/src/granitetrestle/shardstate.py
+++ b/src/granitetrestle/shardstate.py
@@ -299,7 +299,7 @@
         queue = self.queues.get(workflow.submission.queue)
         stretch, target, priority = 1.5, 1000.0, 1
         if queue is not None:
-            stretch, target = queue.stretch, queue.target_ms
+            stretch, target = queue.objective_factor, queue.target_ms
             priority = queue.priority
         left = workflow.chain_ms(task.step, _estimate)
         whole = max(
--- a/src/granitetrestle/statedigest.py
+++ b/src/granitetrestle/statedigest.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from .interfaces import Newest
+from .interfaces import NewestRecords
 from .interfaces import Record
 
 __all__ = [
@@ -131,7 +131,7 @@
     reason: str
 
 
-def verify_read(read: Newest, claim: EpochClaim) -> IncompleteRead | None:
+def verify_read(read: NewestRecords, claim: EpochClaim) -> IncompleteRead | None:
     """Return why a reading is not proved to be whole, or ``None`` if it is.
 
     :param taken: the epoch, as it was raised before the reading.
--- a/src/granitetrestle/succession.py
+++ b/src/granitetrestle/succession.py
@@ -9,7 +9,7 @@
 import anyio
 
 from .interfaces import Fenced
-from .interfaces import Newest
+from .interfaces import NewestRecords
 from .interfaces import NewestUnavailable
 from .interfaces import NumberTaken
 from .interfaces import Store
@@ -76,7 +76,7 @@
         self._fault: IncompleteRead | None = None
         self._fault_since = 0.0
 
-    async def run(self) -> Newest | StateUnavailable:
+    async def run(self) -> NewestRecords | StateUnavailable:
         """Return the records once they are proved to be whole, or are lost."""
         while True:
             read = await self._read()
@@ -106,7 +106,7 @@
             and fault_age_s > DIGEST_MISMATCH_TIMEOUT_S
         )
 
-    async def _read(self) -> Newest | StateUnavailable:
+    async def _read(self) -> NewestRecords | StateUnavailable:
         """Read all pages, those again that fail."""
         reader = NewestReader(self._store, JOBS_TOPIC, self._claim.end)
         pages, attempts, since = 0, 0, time.monotonic()
--- a/src/granitetrestle_standins/boxserver.py
+++ b/src/granitetrestle_standins/boxserver.py
@@ -230,8 +230,8 @@
 
 
 def _poll_reply(model: BoxModel, poll: PollResult) -> Reply:
-    running = [[r.task, r.run, r.saved, r.percent] for r in poll.running]
-    ended = [[r.number, r.task, r.run, r.how, r.saved] for r in poll.ended]
+    running = [[r.task, r.run, r.checkpoint, r.percent] for r in poll.running]
+    ended = [[r.number, r.task, r.run, r.how, r.checkpoint] for r in poll.ended]
     answer = {
         "born": model.born_ms,
         "clock_ms": poll.clock_ms,
--- a/src/granitetrestle_standins/nativestore.py
+++ b/src/granitetrestle_standins/nativestore.py
@@ -7,8 +7,8 @@
 
 from granitetrestle.interfaces import Appended
 from granitetrestle.interfaces import Fenced
-from granitetrestle.interfaces import Newest
 from granitetrestle.interfaces import NewestPage
+from granitetrestle.interfaces import NewestRecords
 from granitetrestle.interfaces import NumberTaken
 from granitetrestle.interfaces import Record
 from granitetrestle.interfaces import Records
@@ -128,11 +128,11 @@
         for late in sorted(due, key=lambda late: late.at):
             self.append(late.topic, late.records, late.writer)
 
-    def newest(self, topic: str) -> Newest:
+    def newest(self, topic: str) -> NewestRecords:
         """Return the newest record of each key that was not dropped."""
         kept = self._kept(topic, self.end(topic))
         records = tuple(record for record in kept.values() if record.value is not None)
-        return Newest(records, self.end(topic))
+        return NewestRecords(records, self.end(topic))
 
     def page(self, topic: str, after: str) -> Page:
         """Return the newest records whose keys follow ``after``, as many as fit."""
@@ -198,7 +198,7 @@
     ) -> Appended | Fenced | NumberTaken | StoreUnavailable:
         """See :meth:`granitetrestle.interfaces.Store.append`."""
         if self.down:
-            return StoreUnavailable("down", undone=True)
+            return StoreUnavailable("down", not_applied=True)
         self.appends.append((writer, len(records)))
         outcome = self.model.append(topic, records, writer)
         if isinstance(outcome, OutOfSequence):
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -37,8 +37,8 @@
         (
             (
                 "commandwindow.py",
-                "for entry in [e for e in waiting if e.kind != FIRST and e.incarnation in incarnations]:",
-                "for entry in list[_Waiting]():",
+                "for entry in [e for e in waiting if e.priority != URGENT and e.incarnation in incarnations]:",
+                "for entry in list[_QueuedCommand]():",
             ),
         ),
         "native_evacuation",
@@ -118,8 +118,8 @@
         (
             (
                 "pollbudget.py",
-                "if self._waiting < part * self._connections:",
-                "if part:",
+                "if self._long_polls < share * self._connections:",
+                "if share:",
             ),
         ),
         "load_many_boxes",
@@ -183,7 +183,13 @@
     ),
     Mutant(
         "native: kept: starts leave however old the right is",
-        (("boxpoller.py", "rests_on_right = kind != FIRST", "rests_on_right = False"),),
+        (
+            (
+                "boxpoller.py",
+                "needs_leader_lease = priority != URGENT",
+                "needs_leader_lease = False",
+            ),
+        ),
         "leaving_orders",
     ),
     Mutant(
