--- a/features/session_world.py
+++ b/features/session_world.py
@@ -30,7 +30,7 @@
 
 QUEUE = Queue("q", "host", "/q/", "pool", 0, 3, 1.5, 1000.0)
 CONFIG = Config(1, (QUEUE,), {"pool": True}, 262144)
-TERMS = SchedulerParameters(lease_s=3.0, orphan_s=2.0, keep_s=60.0)
+PARAMETERS = SchedulerParameters(lease_s=3.0, orphan_s=2.0, keep_s=60.0)
 # Longer than a decider without news waits before it confirms itself.
 TASK_S = 0.6
 TICK_S = 0.01
@@ -65,7 +65,7 @@
         return await super().read(topic, start, wait_s)
 
 
-class LateReading(WaitingStore):
+class StaleReadStore(WaitingStore):
     """Shows the newest records as they were a while ago, for the first few readings."""
 
     def __init__(self, model, behind_s, readings):
@@ -93,7 +93,7 @@
         return await MemoryStore(older).newest_page(topic, after, timeout_s)
 
 
-class CutShort(WaitingStore):
+class TruncatedReadStore(WaitingStore):
     """Leaves out the last of the newest records, for the first few readings."""
 
     def __init__(self, model, readings):
@@ -114,7 +114,9 @@
     """Boxes that answer at once. A task runs for a fixed time."""
 
     def __init__(self, boxes):
-        self.models = {f"b{n}": BoxModel(f"b{n}", TERMS.lease_s) for n in range(boxes)}
+        self.models = {
+            f"b{n}": BoxModel(f"b{n}", PARAMETERS.lease_s) for n in range(boxes)
+        }
         # Boxes that a decider's epoch reaches no more.
         self.unreachable = set()
 
@@ -206,7 +208,7 @@
         ready = anyio.Event()
         async with anyio.create_task_group() as tasks:
             taken = await take_over(self.store, epoch, incarnation or f"life-{epoch}")
-            session = Session(self._sources, taken, TERMS, log, NodeMetrics())
+            session = Session(self._sources, taken, PARAMETERS, log, NodeMetrics())
             tasks.start_soon(session.run, ready.set)
             with anyio.fail_after(10.0):
                 await ready.wait()
--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -13,7 +13,7 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from session_world import CONFIG
-from session_world import TERMS
+from session_world import PARAMETERS
 
 PASS_S = 0.05
 WIDE = Step(count=20, cpu=500, memory_mb=1, estimate_ms=60_000)
@@ -31,7 +31,7 @@
         self.most = max_starts
         self.jobs = 0
         self.started_at = {}
-        self.scheduler = Scheduler(TERMS, 0.0)
+        self.scheduler = Scheduler(PARAMETERS, 0.0)
         self.scheduler.configured(CONFIG)
         self.scheduler.evacuation.record_read(0.0)
         entries = {f"b{n}": entry(n) for n in range(boxes)}
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -31,33 +31,33 @@
 from granitetrestle_standins.nativecluster import free_port
 from rights import CONFIRMED
 
-GIVEN_UP_S = 0.7
+CALL_TIMEOUT_S = 0.7
 
 
 class Boxes:
     """Calls that take the decider's processor, one after the other."""
 
-    def __init__(self, each_s, gone=()):
-        self.each_s = each_s
+    def __init__(self, call_s, gone=()):
+        self.call_s = call_s
         self.gone = set(gone)
         self.free_at = 0.0
-        self.calls = self.given_up = 0
-        self.looked = []
+        self.calls = self.timed_out = 0
+        self.polled = []
         self.waits = []
 
     async def poll(self, incarnation, address, token, known, lease_ends_ms, wait_ms):
         now = time.monotonic()
-        self.looked.append((incarnation, now))
+        self.polled.append((incarnation, now))
         self.waits.append(wait_ms)
         if incarnation in self.gone:
-            await anyio.sleep(GIVEN_UP_S)
+            await anyio.sleep(CALL_TIMEOUT_S)
             return BoxNoAnswer("gone")
         self.calls += 1
-        self.free_at = max(now, self.free_at) + self.each_s
+        self.free_at = max(now, self.free_at) + self.call_s
         wait = self.free_at - now
-        if wait > GIVEN_UP_S:
-            await anyio.sleep(GIVEN_UP_S)
-            self.given_up += 1
+        if wait > CALL_TIMEOUT_S:
+            await anyio.sleep(CALL_TIMEOUT_S)
+            self.timed_out += 1
             return BoxNoAnswer("no answer in time")
         await anyio.sleep(wait + wait_ms / 1000.0)
         return PollResult(1, (), ())
@@ -72,7 +72,7 @@
     )
 
 
-class Looking:
+class FakeScheduler:
     """As much of a decider as a keeper asks."""
 
     def __init__(self, count):
@@ -107,7 +107,7 @@
         return []
 
 
-def keeper(incarnation, calls, scheduler, budget):
+def poller(incarnation, calls, scheduler, budget):
     return BoxPoller(
         incarnation,
         "a",
@@ -125,7 +125,7 @@
 
 @given("{boxes:d} boxes, and a decider that needs {ms:d} ms for each call")
 def boxes_for(context, boxes, ms):
-    context.scheduler, context.calls = Looking(boxes), Boxes(ms / 1000.0)
+    context.scheduler, context.calls = FakeScheduler(boxes), Boxes(ms / 1000.0)
 
 
 @given(
@@ -134,14 +134,14 @@
 )
 def boxes_gone(context, boxes, gone, ms):
     lost = {f"b{number}" for number in range(gone)}
-    context.scheduler, context.calls = Looking(boxes), Boxes(ms / 1000.0, lost)
+    context.scheduler, context.calls = FakeScheduler(boxes), Boxes(ms / 1000.0, lost)
 
 
-def look_at_all(context, seconds, budget):
+def poll_all(context, seconds, budget):
     async def script():
         async with anyio.create_task_group() as tasks:
             for incarnation in context.scheduler.boxes:
-                poll = keeper(incarnation, context.calls, context.scheduler, budget)
+                poll = poller(incarnation, context.calls, context.scheduler, budget)
                 tasks.start_soon(poll.run)
             await anyio.sleep(seconds)
             tasks.cancel_scope.cancel()
@@ -151,14 +151,14 @@
 
 @when("it looks at them for {seconds:d} seconds")
 def polls(context, seconds):
-    look_at_all(context, seconds, PollBudget(1000))
+    poll_all(context, seconds, PollBudget(1000))
 
 
 @when("it looks at them for {seconds:d} seconds, all at once")
-def looks_at_once(context, seconds):
+def poll_all_at_once(context, seconds):
     budget = PollBudget(1_000_000)
     budget._contact_window = UnlimitedWindow()
-    look_at_all(context, seconds, budget)
+    poll_all(context, seconds, budget)
 
 
 @then(
@@ -167,7 +167,7 @@
 def reached_with_few(context, boxes, part):
     reached(context, boxes)
     calls = context.calls
-    assert calls.given_up * part <= calls.calls, (calls.given_up, calls.calls)
+    assert calls.timed_out * part <= calls.calls, (calls.timed_out, calls.calls)
 
 
 @then("it has reached {boxes:d} boxes at least")
@@ -177,9 +177,9 @@
 
 
 @then("at least 1 look in {part:d} was given up")
-def many_given_up(context, part):
+def many_timed_out(context, part):
     calls = context.calls
-    assert calls.given_up * part >= calls.calls, (calls.given_up, calls.calls)
+    assert calls.timed_out * part >= calls.calls, (calls.timed_out, calls.calls)
 
 
 @given("a budget of {connections:d} connections")
@@ -188,7 +188,7 @@
 
 
 @when("{boxes:d} boxes are looked at, of which {busy:d} work")
-def look_terms(context, boxes, busy):
+def poll_with_budget(context, boxes, busy):
     context.idle_waits, context.pauses, context.most = [], [], 0
     for number in range(boxes):
         box = BoxView(entry(f"b{number}"), 0.0)
@@ -219,19 +219,19 @@
 
 
 @given("a keeper of an idle box for which there is no connection to wait on")
-def idle_keeper(context):
-    context.scheduler, context.calls = Looking(1), Boxes(0.0)
+def idle_poller(context):
+    context.scheduler, context.calls = FakeScheduler(1), Boxes(0.0)
     context.budget = PollBudget(0)
 
 
 @when("a task is started there after {seconds:g} seconds")
 def started_after(context, seconds):
     async def script():
-        poll = keeper("b0", context.calls, context.scheduler, context.budget)
+        poll = poller("b0", context.calls, context.scheduler, context.budget)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(poll.run)
             await anyio.sleep(seconds)
-            context.before = len(context.calls.looked)
+            context.before = len(context.calls.polled)
             context.at = time.monotonic()
             await poll.execute(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
             await anyio.sleep(0.3)
@@ -247,11 +247,11 @@
     box.adopted = True
 
     async def script():
-        poll = keeper("b0", context.calls, context.scheduler, context.budget)
+        poll = poller("b0", context.calls, context.scheduler, context.budget)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(poll.run)
             await anyio.sleep(span / 2)
-            context.before = len(context.calls.looked)
+            context.before = len(context.calls.polled)
             context.at = time.monotonic()
             box.tasks["t"] = None
             await poll.execute(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
@@ -262,8 +262,8 @@
 
 
 @then("the box is looked at within {seconds:g} seconds")
-def looked_within(context, seconds):
-    after = context.calls.looked[context.before :]
+def polled_within(context, seconds):
+    after = context.calls.polled[context.before :]
     assert after and after[0][1] - context.at < seconds, after
 
 
@@ -338,8 +338,8 @@
 @given("a link to peers that may open {most:d} sockets")
 def bounded_link(context, most):
     context.link = PeerLink("n", "n1", "token", f"127.0.0.1:{free_port()}")
-    context.said = []
-    context.link.on_not_opened = lambda node, reason: context.said.append(node)
+    context.reported = []
+    context.link.on_not_opened = lambda node, reason: context.reported.append(node)
     opened = context.link._open
 
     def bounded(address):
@@ -359,5 +359,5 @@
 @then("it goes on with those it reached, and says once that others were not")
 def goes_on(context):
     assert context.link.connections == 3
-    assert context.said == ["p3"], context.said
+    assert context.reported == ["p3"], context.reported
     context.link.close()
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -91,7 +91,7 @@
         self.watched += [d.incarnation for d in decisions if isinstance(d, WatchBox)]
 
     def begin(self, *records):
-        self.feed.begin(NewestRecords(records, 0))
+        self.feed.load(NewestRecords(records, 0))
 
     def follow(self, *records):
         self.feed._take(records)
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -103,7 +103,7 @@
 def hears_of_another(context, tasks):
     async def meanwhile(session):
         successor(context)
-        session.hears_of(2)
+        session.observe_epoch(2)
 
     play(context, tasks, meanwhile)
 
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -24,7 +24,7 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from session_world import CONFIG
-from session_world import TERMS
+from session_world import PARAMETERS
 
 JOB = "1".rjust(16, "0")
 TASK = f"{JOB}.0.0.0"
@@ -49,7 +49,7 @@
 
 
 def new_decider(now):
-    scheduler = Scheduler(TERMS, now)
+    scheduler = Scheduler(PARAMETERS, now)
     scheduler.configured(CONFIG)
     return scheduler
 
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -89,7 +89,7 @@
     store.append = limited
 
 
-def without_marks(store):
+def without_digests(store):
     return [r for r in store.model.topics["t"] if r.key != DIGEST_KEY]
 
 
@@ -121,7 +121,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(journal.run)
                 journal.request_batch()
-                while len(without_marks(store)) < count:
+                while len(without_digests(store)) < count:
                     await anyio.sleep(0.01)
                 tasks.cancel_scope.cancel()
 
@@ -130,7 +130,7 @@
 
 @then("all of them are in the store within {seconds:g} seconds")
 def all_in_store(context, seconds):
-    assert without_marks(context.store) == context.wanted
+    assert without_digests(context.store) == context.wanted
 
 
 STOPPED = b'HTTP/1.1 200 OK\r\ncontent-length: 14\r\n\r\n{"clock_ms":1}'
@@ -138,7 +138,7 @@
 
 
 @when("a job is handed in whose record has {size:d} bytes, where {most:d} are taken")
-def hand_in_long(context, size, most):
+def submit_long_job(context, size, most):
     async def confirm():
         return True
 
@@ -150,7 +150,7 @@
         over=False,
         config=Config(1, (QUEUE,), {}, 1_000_000),
         serving=True,
-        store_away=False,
+        store_unavailable=False,
         confirm=confirm,
         call=accept,
     )
@@ -182,10 +182,10 @@
 
 
 @when("a box answers a look with {megabytes:d} megabytes of checkpoints")
-def long_look(context, megabytes):
-    saved = "c" * 10_000
+def long_poll_answer(context, megabytes):
+    checkpoint = "c" * 10_000
     context.count = megabytes * 100
-    rows = [[f"{'a' * 16}.0.0.{n}", 1, saved, 50] for n in range(context.count)]
+    rows = [[f"{'a' * 16}.0.0.{n}", 1, checkpoint, 50] for n in range(context.count)]
     body = json.dumps({"clock_ms": 1, "running": rows, "finished": []}).encode()
     head = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body)
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -25,26 +25,26 @@
 from granitetrestle_bench.deciding import Load
 from rights import CONFIRMED
 
-GIVEN_UP_S = 0.4
+CALL_TIMEOUT_S = 0.4
 
 
 class Link:
     """Carries one call after the other."""
 
     def __init__(self, calls_per_s):
-        self.each_s = 1.0 / calls_per_s
+        self.call_s = 1.0 / calls_per_s
         self.free_at = 0.0
-        self.calls = self.given_up = 0
+        self.calls = self.timed_out = 0
         self.started = {}
 
     async def start(self, command, token, spec, lease_ends_ms, checkpoint, ticket):
         self.calls += 1
         now = time.monotonic()
-        self.free_at = max(now, self.free_at) + self.each_s
+        self.free_at = max(now, self.free_at) + self.call_s
         wait = self.free_at - now
-        if wait > GIVEN_UP_S:
-            await anyio.sleep(GIVEN_UP_S)
-            self.given_up += 1
+        if wait > CALL_TIMEOUT_S:
+            await anyio.sleep(CALL_TIMEOUT_S)
+            self.timed_out += 1
             return BoxNoAnswer("no answer in time")
         await anyio.sleep(wait)
         self.started.setdefault(command.task, time.monotonic())
@@ -82,7 +82,7 @@
     scheduler = Scheduler(context.boxes)
 
     async def script():
-        keepers = [
+        pollers = [
             BoxPoller(
                 f"b{number}",
                 "a",
@@ -100,11 +100,11 @@
         ]
         async with anyio.create_task_group() as tasks:
 
-            def command(number, fills):
-                keeper = keepers[number % len(keepers)]
-                incarnation = f"b{number % len(keepers)}"
-                start = StartTask(incarnation, f"{number}", 1, "s", "", "", fills)
-                tasks.start_soon(keeper.execute, start)
+            def command(number, best_effort):
+                poller = pollers[number % len(pollers)]
+                incarnation = f"b{number % len(pollers)}"
+                start = StartTask(incarnation, f"{number}", 1, "s", "", "", best_effort)
+                tasks.start_soon(poller.execute, start)
 
             for number in range(count):
                 command(number, True)
@@ -132,16 +132,16 @@
 
 
 @then("at most {most:g} in 100 calls were given up, and each start was carried out")
-def few_given_up(context, most):
+def few_timed_out(context, most):
     link = context.link
-    assert link.given_up <= most / 100 * link.calls, (link.given_up, link.calls)
+    assert link.timed_out <= most / 100 * link.calls, (link.timed_out, link.calls)
     assert len(link.started) == context.count + context.urgent
 
 
 @then("at least {least:g} in 100 calls were given up")
-def many_given_up(context, least):
+def many_timed_out(context, least):
     link = context.link
-    assert link.given_up >= least / 100 * link.calls, (link.given_up, link.calls)
+    assert link.timed_out >= least / 100 * link.calls, (link.timed_out, link.calls)
 
 
 @then("the urgent ones were answered within {seconds:g} seconds")
@@ -184,25 +184,27 @@
         scheduler.called("c", CancelJob(workflow.submission.job), context.load.now)
 
 
-def placed(context):
+def place_starts(context):
     load = context.load
     load.now += 0.1
     decisions = load.scheduler.decide(load.now, 0, context.most)
     return [d for d in decisions if isinstance(d, StartTask)]
 
 
-def hand_in(context, job, queue, **step):
+def submit_job(context, job, queue, **step):
     submission = Submission(job, queue, "pool", "s", (Step(**step),))
     call = SubmitJob(submission)
     context.load.scheduler.called(job, call, context.load.now)
 
 
 @when("a job of {count:d} tasks that fill waits, and then an urgent one of {few:d}")
-def fill_then_urgent(context, count, few):
-    hand_in(context, "a" * 16, "fill", count=count, cpu=1000, fills=True, image="f")
-    context.first = placed(context)
-    hand_in(context, "b" * 16, "short", count=few, cpu=1000)
-    context.then = placed(context)
+def best_effort_then_urgent(context, count, few):
+    submit_job(
+        context, "a" * 16, "fill", count=count, cpu=1000, best_effort=True, image="f"
+    )
+    context.first = place_starts(context)
+    submit_job(context, "b" * 16, "short", count=few, cpu=1000)
+    context.then = place_starts(context)
 
 
 @then("10 of the first are started, and the urgent ones before any more of them")
@@ -214,9 +216,9 @@
 
 @when("a job's order waits for its turn while its box says that it leaves")
 def box_leaves(context):
-    hand_in(context, "a" * 16, "short", count=1, cpu=1000)
+    submit_job(context, "a" * 16, "short", count=1, cpu=1000)
     load = context.load
-    (context.command,) = placed(context)
+    (context.command,) = place_starts(context)
     assert load.scheduler.start_wanted(context.command, load.now)
     entries = {
         incarnation: box.entry
@@ -237,7 +239,7 @@
     scheduler.start_answered(
         command.incarnation, command.task, command.run, withdrawn, now
     )
-    (again,) = placed(context)
+    (again,) = place_starts(context)
     assert again.task == command.task and again.incarnation != command.incarnation
 
 
@@ -251,7 +253,7 @@
         context.window.record_answer(s)
 
 
-class Looked:
+class PolledBox:
     """A box that is looked at."""
 
     entry = None
@@ -262,7 +264,7 @@
     known = durable_known = 0
 
 
-class LookingDecider:
+class PollingScheduler:
     """As much of a decider as looking asks."""
 
     class fleet:
@@ -275,7 +277,7 @@
             return []
 
     class state:
-        boxes = {"b": Looked()}
+        boxes = {"b": PolledBox()}
 
 
 class QuickBox:
@@ -296,15 +298,15 @@
 @when(
     "it looks for {span:g} seconds, and then its event loop is {lag:g} seconds behind"
 )
-def looks_on(context, span, lag):
+def poll_then_lag(context, span, lag):
     async def script():
         measured = LoopLag()
-        keeper = BoxPoller(
+        poller = BoxPoller(
             "b",
             "a",
             1,
             context.quick,
-            LookingDecider(),
+            PollingScheduler(),
             lambda decisions: None,
             CONFIRMED,
             NodeMetrics(),
@@ -313,7 +315,7 @@
             PollBudget(3900),
         )
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(keeper.run)
+            tasks.start_soon(poller.run)
             await anyio.sleep(span)
             context.before = context.quick.polls
             measured.lag_s = lag
@@ -324,6 +326,6 @@
 
 
 @then("it looks at most a third as often")
-def looks_less(context):
+def polls_less_often(context):
     after = context.quick.polls - context.before
     assert 0 < after <= context.before / 3, (context.before, after)
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -415,7 +415,7 @@
         over=True,
         config=Config(1, (QUEUE,), {}, 10_000),
         serving=False,
-        store_away=False,
+        store_unavailable=False,
     )
 
 
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -32,7 +32,7 @@
 from granitetrestle.workflows import Submission
 from granitetrestle_standins.nativestore import StoreModel
 from session_world import CONFIG
-from session_world import TERMS
+from session_world import PARAMETERS
 from session_world import SessionWorld
 from session_world import WaitingStore
 
@@ -242,7 +242,7 @@
     async def script():
         taken = await take_over(world.store, 1, "life")
         log = NodeLog(descriptor=2)
-        session = Session(world._sources, taken, TERMS, log, NodeMetrics())
+        session = Session(world._sources, taken, PARAMETERS, log, NodeMetrics())
         with anyio.move_on_after(6.0):
             context.began = time.monotonic()
             await session.run(lambda: None)
@@ -326,7 +326,7 @@
 
 @given("a box whose earlier life ended, and whose present life runs a task")
 def two_lives(context):
-    scheduler = context.scheduler = Scheduler(TERMS, 0.0)
+    scheduler = context.scheduler = Scheduler(PARAMETERS, 0.0)
     scheduler.configured(CONFIG)
     scheduler.fleet.listed({"first": entry("first")}, 0.0)
     scheduler.fleet.poll_answered("first", 0.1, 0.1, PollResult(100, (), ()))
@@ -386,7 +386,7 @@
                 while len(context.arrived) < tasks - waiting:
                     await anyio.sleep(0.005)
             store.append = late_answer
-            session.hears_of(2)
+            session.observe_epoch(2)
             await anyio.sleep(seconds + 2.0)
             context.over = session.over
 
@@ -422,7 +422,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(session.call, "r", SubmitJob(submission(tasks, 100)))
                 await anyio.sleep(0.3)
-                session.hears_of(2)
+                session.observe_epoch(2)
             # The starts' record is confirmed, and the right to send them is not.
             await anyio.sleep(1.0)
             context.asked = time.monotonic()
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -240,12 +240,12 @@
 
         def __init__(self):
             self._over = False
-            self._operators = self
+            self._operator_feed = self
             self._journal = self
             self._leader_lease = JournalLeaderLease(
                 self, SchedulerParameters().orphan_s, LoopLag()
             )
-            self._come_back = SteadyRetries()
+            self._retry_after = SteadyRetries()
 
         config = CONFIG
         fresh = True
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -15,9 +15,9 @@
 from granitetrestle.succession import take_over
 from granitetrestle_standins.nativestore import StoreModel
 from session_world import CountingModel
-from session_world import CutShort
-from session_world import LateReading
 from session_world import SessionWorld
+from session_world import StaleReadStore
+from session_world import TruncatedReadStore
 from session_world import WaitingStore
 
 # Longer than a decider without news waits before it confirms itself.
@@ -41,7 +41,7 @@
     "readings, and {boxes:d} boxes"
 )
 def late_store(context, behind, readings, boxes):
-    store = LateReading(StoreModel(), behind, 0)
+    store = StaleReadStore(StoreModel(), behind, 0)
     context.world = SessionWorld(store, boxes, context.folder)
     context.readings = readings
 
@@ -51,7 +51,7 @@
     "and {boxes:d} boxes"
 )
 def short_store(context, readings, boxes):
-    store = CutShort(StoreModel(), 0)
+    store = TruncatedReadStore(StoreModel(), 0)
     context.world = SessionWorld(store, boxes, context.folder)
     context.readings = readings
 
--- a/features/steps/unwell_steps.py
+++ b/features/steps/unwell_steps.py
@@ -16,7 +16,7 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from session_world import CONFIG
-from session_world import TERMS
+from session_world import PARAMETERS
 
 ROOM = (8000, 8000, 0)
 
@@ -37,7 +37,7 @@
 
 @given("a task whose start got no answer, so that it is being stopped")
 def being_stopped(context):
-    scheduler = context.scheduler = Scheduler(TERMS, 0.0)
+    scheduler = context.scheduler = Scheduler(PARAMETERS, 0.0)
     scheduler.configured(CONFIG)
     scheduler.fleet.listed({"b1": entry("b1")}, 0.0)
     scheduler.fleet.poll_answered("b1", 0.1, 0.1, PollResult(100, (), ()))
--- a/src/granitetrestle/feeds.py
+++ b/src/granitetrestle/feeds.py
@@ -33,11 +33,11 @@
 
 # Boxes write every second or two; a change of theirs should be seen well within
 # the two seconds that a leaving box may still be given work.
-LIST_EVERY_S: t.Final = 0.4
-CONFIG_WAIT_S: t.Final = 0.8
+BOX_LIST_INTERVAL_S: t.Final = 0.4
+CONFIG_READ_WAIT_S: t.Final = 0.8
 # Nothing is decided for clients on a configuration that was confirmed longer ago.
-CONFIG_FRESH_S: t.Final = 1.8
-RETRY_S: t.Final = 0.1
+MAX_CONFIG_AGE_S: t.Final = 1.8
+RETRY_INTERVAL_S: t.Final = 0.1
 
 Apply: t.TypeAlias = t.Callable[[list[Decision]], None]
 
@@ -72,19 +72,19 @@
         self._apply = apply
         self._log = log
         # Offset at which to read on.
-        self._from = 0
+        self._next_offset = 0
 
     @abc.abstractmethod
-    def begin(self, newest: NewestRecords) -> None:
+    def load(self, newest: NewestRecords) -> None:
         """Take up all there is."""
 
     @abc.abstractmethod
     async def follow(self) -> None:
         """Read on until cancelled."""
 
-    async def _read_anew(self, topic: str) -> NewestRecords | None:
+    async def _reload(self, topic: str) -> NewestRecords | None:
         """Return all there is, or ``None`` if it can't be read, which is logged."""
-        outcome = await read_newest(self._sources.store, topic, self._from)
+        outcome = await read_newest(self._sources.store, topic, self._next_offset)
         if isinstance(outcome, NewestUnavailable):
             self._log.event("topic_unread", topic=topic, **outcome._asdict())
             return None
@@ -98,7 +98,7 @@
         self, sources: Sources, scheduler: Scheduler, apply: Apply, log: NodeLog
     ) -> None:
         super().__init__(sources, scheduler, apply, log)
-        self._heard_at = -1e9
+        self._read_at = -1e9
         # Data halls about which an order can't be read.
         self._unreadable: set[str] = set()
 
@@ -110,47 +110,47 @@
     @property
     def fresh(self) -> bool:
         """Whether what operators ask was read of late."""
-        return steadyclock.now() - self._heard_at < CONFIG_FRESH_S
+        return steadyclock.now() - self._read_at < MAX_CONFIG_AGE_S
 
     @property
     def unreadable(self) -> int:
         """How many orders can't be read."""
         return len(self._unreadable)
 
-    def begin(self, newest: NewestRecords) -> None:
-        """See :meth:`_Feed.begin`."""
-        self._take(newest)
+    def load(self, newest: NewestRecords) -> None:
+        """See :meth:`_Feed.load`."""
+        self._apply_records(newest)
 
     async def follow(self) -> None:
         """See :meth:`_Feed.follow`."""
         store, topic = self._sources.store, self._sources.config_topic
-        wait_s = CONFIG_WAIT_S
+        wait_s = CONFIG_READ_WAIT_S
         while True:
             outcome: Records | NewestRecords | RecordsGone | StoreUnavailable | None
-            outcome = await store.read(topic, self._from, wait_s)
+            outcome = await store.read(topic, self._next_offset, wait_s)
             if isinstance(outcome, RecordsGone):
-                outcome = await self._read_anew(topic)
+                outcome = await self._reload(topic)
             if outcome is None or isinstance(outcome, StoreUnavailable):
                 # The next answer should come at once: starts are held without news.
                 wait_s = 0.0
-                await anyio.sleep(RETRY_S)
+                await anyio.sleep(RETRY_INTERVAL_S)
                 continue
-            self._take(outcome)
-            wait_s = CONFIG_WAIT_S
+            self._apply_records(outcome)
+            wait_s = CONFIG_READ_WAIT_S
 
-    def _take(self, outcome: NewestRecords | Records) -> None:
+    def _apply_records(self, outcome: NewestRecords | Records) -> None:
         """Put what operators ask in force; the newest of all keys are all there is."""
-        self._from = outcome.end
-        halls, unread = self._decode(outcome.records)
+        self._next_offset = outcome.end
+        directives, unreadable = self._decode(outcome.records)
         evacuation, now = self._scheduler.evacuation, time.monotonic()
         if isinstance(outcome, NewestRecords):
-            self._unreadable = unread
-            self._apply(evacuation.replace_directives(halls, unread, now))
+            self._unreadable = unreadable
+            self._apply(evacuation.replace_directives(directives, unreadable, now))
         else:
-            self._unreadable -= {order.hall for order in halls}
-            self._unreadable |= unread
-            self._apply(evacuation.apply_directives(halls, now))
-        self._heard_at = steadyclock.now()
+            self._unreadable -= {directive.hall for directive in directives}
+            self._unreadable |= unreadable
+            self._apply(evacuation.apply_directives(directives, now))
+        self._read_at = steadyclock.now()
         evacuation.record_read(now)
 
     def _decode(
@@ -158,20 +158,20 @@
     ) -> tuple[list[HallDirective], set[str]]:
         """Put configurations in force; returns the orders about halls, and the halls
         about which an order can't be read."""
-        halls: list[HallDirective] = []
-        unread: set[str] = set()
+        directives: list[HallDirective] = []
+        unreadable: set[str] = set()
         for record in records:
             try:
-                order = self._sources.decode_operator(record)
+                directive = self._sources.decode_operator(record)
             except MalformedDirective as error:
                 self._log.event("order_malformed", key=error.key, error=error.message)
-                unread.add(error.hall)
+                unreadable.add(error.hall)
                 continue
-            if isinstance(order, Config):
-                self._apply(self._scheduler.configured(order))
-            elif order is not None:
-                halls.append(order)
-        return halls, unread
+            if isinstance(directive, Config):
+                self._apply(self._scheduler.configured(directive))
+            elif directive is not None:
+                directives.append(directive)
+        return directives, unreadable
 
 
 class BoxFeed(_Feed):
@@ -184,50 +184,50 @@
         # By their keys: a life that begins under the id of another takes its place.
         self._entries: dict[str, BoxEntry] = {}
         # Keys of entries that name no box to use, as was said.
-        self._foreign: set[str] = set()
+        self._rejected_keys: set[str] = set()
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def begin(self, newest: NewestRecords) -> None:
-        """See :meth:`_Feed.begin`."""
-        run_to_completion(self.beginning(newest))
+    def load(self, newest: NewestRecords) -> None:
+        """See :meth:`_Feed.load`."""
+        run_to_completion(self.loading(newest))
 
-    def beginning(self, newest: NewestRecords) -> SlicedWork[None]:
+    def loading(self, newest: NewestRecords) -> SlicedWork[None]:
         """Take up all there is, a box at a step."""
-        self._from = newest.end
-        yield from self._taking(newest.records)
+        self._next_offset = newest.end
+        yield from self._applying_records(newest.records)
 
     async def follow(self) -> None:
         """See :meth:`_Feed.follow`."""
         store, topic = self._sources.store, self._sources.box_topic
         while True:
-            await anyio.sleep(LIST_EVERY_S)
+            await anyio.sleep(BOX_LIST_INTERVAL_S)
             outcome: Records | NewestRecords | RecordsGone | StoreUnavailable | None
-            outcome = await store.read(topic, self._from, 0.0)
+            outcome = await store.read(topic, self._next_offset, 0.0)
             if isinstance(outcome, RecordsGone):
-                outcome = await self._read_anew(topic)
+                outcome = await self._reload(topic)
                 if outcome is not None:
                     self._entries.clear()
             if outcome is None or isinstance(outcome, StoreUnavailable):
                 continue
-            self._from = outcome.end
-            self._take(outcome.records)
+            self._next_offset = outcome.end
+            self._apply_records(outcome.records)
 
-    def _take(self, records: t.Iterable[Record]) -> None:
-        run_to_completion(self._taking(records))
+    def _apply_records(self, records: t.Iterable[Record]) -> None:
+        run_to_completion(self._applying_records(records))
 
-    def _taking(self, records: t.Iterable[Record]) -> SlicedWork[None]:
+    def _applying_records(self, records: t.Iterable[Record]) -> SlicedWork[None]:
         for record in records:
             yield
             self._entries.pop(record.key, None)
             try:
                 entry = self._sources.decode_box(record)
             except MalformedEntry as error:
-                self._say_foreign(error.key, error.message)
+                self._log_rejected(error.key, error.message)
                 continue
             if entry is None:
-                self._foreign.discard(record.key)
+                self._rejected_keys.discard(record.key)
             else:
                 self._entries[record.key] = entry
         fleet, now = self._scheduler.fleet, time.monotonic()
@@ -246,12 +246,12 @@
         for key, entry in self._entries.items():
             if entry.service in services or entry.incarnation in in_use:
                 usable[entry.incarnation] = entry
-                self._foreign.discard(key)
+                self._rejected_keys.discard(key)
             else:
-                self._say_foreign(key, f"no such service: {entry.service}")
+                self._log_rejected(key, f"no such service: {entry.service}")
         return usable
 
-    def _say_foreign(self, key: str, why: str) -> None:
-        if key not in self._foreign:
-            self._foreign.add(key)
-            self._log.event("box_malformed", box=key, error=why)
+    def _log_rejected(self, key: str, reason: str) -> None:
+        if key not in self._rejected_keys:
+            self._rejected_keys.add(key)
+            self._log.event("box_malformed", box=key, error=reason)
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -275,7 +275,7 @@
         now = time.monotonic()
         self._say(self._reports.heard(status, self._own_state(), now))
         if self._session is not None:
-            self._session.hears_of(self._leadership.epoch)
+            self._session.observe_epoch(self._leadership.epoch)
         self._leader_changed()
 
     def _say(self, reports: list[Report]) -> None:
@@ -345,7 +345,7 @@
     def _consider_handing_over(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
         """Let a process on a much larger box decide."""
         better = self._leadership.handover_target(now, self._parameters.cores)
-        if better and self._session is not None and not self._session.store_away:
+        if better and self._session is not None and not self._session.store_unavailable:
             tasks.start_soon(self._hand_over, better, DRAIN_S)
 
     async def _hand_over(self, successor: str, drain_s: float) -> None:
@@ -369,7 +369,7 @@
         leading = session is not None and self._serving
         return OwnState(
             leading=leading,
-            store_ok=session is None or not session.store_away,
+            store_ok=session is None or not session.store_unavailable,
             ready=self._registered and not self._stopping,
             taking_over=self._taking_over or (session is not None and not leading),
         )
--- a/src/granitetrestle/platform/server.py
+++ b/src/granitetrestle/platform/server.py
@@ -66,14 +66,14 @@
         except InvalidInput as error:
             return ClientAnswer(400, error.message.encode(), why=error.message)
         refused = ""
-        if isinstance(asked, SubmitJob) and session.store_away:
+        if isinstance(asked, SubmitJob) and session.store_unavailable:
             refused = "store away"
         elif not session.serving:
             refused = "the configuration was not confirmed of late"
         if refused and not _taken(session, asked):
-            return _come_back(refused, session.come_back_s)
+            return _come_back(refused, session.retry_after_s)
         if not await session.confirm() and not _taken(session, asked):
-            return _come_back("store away", session.come_back_s)
+            return _come_back("store away", session.retry_after_s)
         if isinstance(asked, front.UnknownQueue):
             return ClientAnswer(404)
         outcome = await session.call(request, asked)
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -64,12 +64,12 @@
 __all__ = ["Session", "Sources"]
 
 # A store that has not answered for so long is away: new work is refused.
-STORE_AWAY_S: t.Final = 0.5
+STORE_UNAVAILABLE_AFTER_S: t.Final = 0.5
 # An answer may rest on being the decider if that was confirmed so recently.
-CONFIRMED_S: t.Final = 0.6
-RETRY_S: t.Final = 0.1
+MAX_CONFIRMATION_AGE_S: t.Final = 0.6
+RETRY_INTERVAL_S: t.Final = 0.1
 # How often a decider says how loaded it is.
-LOAD_EVERY_S: t.Final = 5.0
+LOAD_LOG_INTERVAL_S: t.Final = 5.0
 
 
 class Session:
@@ -81,14 +81,14 @@
     def __init__(
         self,
         sources: Sources,
-        taken: EpochClaim,
+        claim: EpochClaim,
         parameters: SchedulerParameters,
         log: NodeLog,
         metrics: NodeMetrics,
     ) -> None:
         self._sources = sources
-        self._taken = taken
-        self._epoch = taken.epoch
+        self._claim = claim
+        self._epoch = claim.epoch
         self._parameters = parameters
         self._log = log
         self._metrics = metrics
@@ -96,15 +96,15 @@
         self._journal = Journal(
             sources.store,
             JOBS_TOPIC,
-            taken.epoch,
-            self._prepare,
-            self._release,
+            claim.epoch,
+            self._decide,
+            self._apply_durable,
             # Being the decider is a right: while this machine slept another may have
             # taken over, and an answer would rest on what was confirmed before.
             steadyclock.now,
             self._append_unanswered,
             self._append_not_kept,
-            taken.end,
+            claim.end,
             parameters.call_bytes,
         )
         self._lag = LoopLag(steadyclock.now)
@@ -112,20 +112,20 @@
             self._journal, parameters.orphan_s, self._lag
         )
         parts = (sources, self._scheduler, self._apply, log)
-        self._operators = OperatorFeed(*parts)
-        self._listed = BoxFeed(*parts)
-        self._keepers: dict[str, BoxPoller] = {}
+        self._operator_feed = OperatorFeed(*parts)
+        self._box_feed = BoxFeed(*parts)
+        self._pollers: dict[str, BoxPoller] = {}
         steady = Mechanism.STEADY_RETRIES not in parameters.off
-        self._come_back: RetryAfter = SteadyRetries() if steady else FollowingOutage()
+        self._retry_after: RetryAfter = SteadyRetries() if steady else FollowingOutage()
         limited = Mechanism.COMMAND_WINDOW not in parameters.off
         self._window = CommandWindow(lag=self._lag) if limited else UnlimitedWindow()
         self._budget = PollBudget(parameters.connections)
-        self._loaded_at = time.monotonic()
+        self._load_logged_at = time.monotonic()
         self._callers: dict[str, _Caller] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
         self._over = False
         # The newest epoch that others are known to follow.
-        self._epoch_heard = taken.epoch
+        self._newest_epoch = claim.epoch
         self._store_lost_at: float | None = None
 
     @property
@@ -150,7 +150,7 @@
             "looks_waiting": float(self._budget.long_polls),
             "looks_to_begin": float(self._budget.contact_window.waiting),
             "halls_evacuated": float(len(self._scheduler.state.evacuated_halls)),
-            "orders_unreadable": float(self._operators.unreadable),
+            "orders_unreadable": float(self._operator_feed.unreadable),
             "log_end": float(self._journal.end or 0),
             "right_age_s": round(self._leader_lease.age_s(), 3),
         }
@@ -158,7 +158,7 @@
     @property
     def config(self) -> Config | None:
         """The configuration in force."""
-        return self._operators.config
+        return self._operator_feed.config
 
     @property
     def scheduler(self) -> Scheduler:
@@ -171,22 +171,24 @@
         return self._over
 
     @property
-    def store_away(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the store has not taken an append for a while."""
         since = self._journal.status.waiting_since
-        return since is not None and steadyclock.now() - since > STORE_AWAY_S
+        return (
+            since is not None and steadyclock.now() - since > STORE_UNAVAILABLE_AFTER_S
+        )
 
     @property
-    def come_back_s(self) -> int:
+    def retry_after_s(self) -> int:
         """When a client that is refused should come back."""
         since = self._journal.status.waiting_since
         away_s = 0.0 if since is None else steadyclock.now() - since
-        return self._come_back.after_s(away_s)
+        return self._retry_after.after_s(away_s)
 
     @property
     def serving(self) -> bool:
         """Whether clients can be answered: configuration known and fresh."""
-        known = self.config is not None and self._operators.fresh
+        known = self.config is not None and self._operator_feed.fresh
         return known and not self._over
 
     async def run(self, ready: t.Callable[[], None]) -> None:
@@ -197,20 +199,20 @@
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
-                if not await self._begin():
+                if not await self._take_over():
                     return
-                tasks.start_soon(self._journal_loop, tasks)
-                tasks.start_soon(self._operators.follow)
-                tasks.start_soon(self._listed.follow)
+                tasks.start_soon(self._run_journal, tasks)
+                tasks.start_soon(self._operator_feed.follow)
+                tasks.start_soon(self._box_feed.follow)
                 tasks.start_soon(self._lag.run)
                 ready()
         finally:
             self._over = True
             take_back()
             for caller in self._callers.values():
-                caller.news.set()
+                caller.changed.set()
 
-    async def _begin(self) -> bool:
+    async def _take_over(self) -> bool:
         """Read what a predecessor left; no other can write meanwhile."""
         started = time.monotonic()
         read = await self._read_all()
@@ -224,15 +226,15 @@
             restoring = self._scheduler.restoring(state.records, now)
             del state
             self._apply(await in_slices(restoring))
-            self._operators.begin(read[self._sources.config_topic])
-            await in_slices(self._listed.beginning(read[self._sources.box_topic]))
+            self._operator_feed.load(read[self._sources.config_topic])
+            await in_slices(self._box_feed.loading(read[self._sources.box_topic]))
         self._log.event(
             "took_over",
             epoch=self._epoch,
             jobs=len(self._scheduler.state.workflows),
             records=records,
             end=end,
-            boxes=len(self._listed),
+            boxes=len(self._box_feed),
             config=self.config.version if self.config else None,
             read_s=round(now - started, 3),
             took_s=round(time.monotonic() - started, 3),
@@ -243,7 +245,7 @@
         """Return the newest records of each topic, or ``None`` if they can't be read."""
         read: dict[str, NewestRecords] = {}
         store = self._sources.store
-        state = StateReader(store, self._taken, self._log)
+        state = StateReader(store, self._claim, self._log)
 
         async def fetch(topic: str) -> None:
             outcome: NewestRecords | NewestUnavailable | StateUnavailable
@@ -271,7 +273,7 @@
                 tasks.start_soon(fetch, topic)
         return None if tasks.cancel_scope.cancel_called else read
 
-    async def _journal_loop(self, tasks: anyio.abc.TaskGroup) -> None:
+    async def _run_journal(self, tasks: anyio.abc.TaskGroup) -> None:
         met = await self._journal.run()
         self._step_down("store", type(met).__name__)
         tasks.cancel_scope.cancel()
@@ -287,11 +289,11 @@
                 waiting_s=round(waiting_s, 3),
             )
 
-    def _append_not_kept(self, what: NotKept) -> None:
+    def _append_not_kept(self, not_kept: NotKept) -> None:
         self._metrics.count("append_not_kept")
-        self._log.event("append_not_kept", epoch=self._epoch, **what._asdict())
+        self._log.event("append_not_kept", epoch=self._epoch, **not_kept._asdict())
 
-    def _store_answers(self) -> None:
+    def _log_store_back(self) -> None:
         if self._store_lost_at is not None:
             lost_s = time.monotonic() - self._store_lost_at
             self._store_lost_at = None
@@ -306,10 +308,10 @@
             if self._tasks is not None:
                 self._tasks.cancel_scope.cancel()
 
-    def _prepare(self) -> list[Record]:
+    def _decide(self) -> list[Record]:
         now = time.monotonic()
-        if now - self._loaded_at > LOAD_EVERY_S:
-            self._loaded_at = now
+        if now - self._load_logged_at > LOAD_LOG_INTERVAL_S:
+            self._load_logged_at = now
             self._log.event("load", epoch=self._epoch, **self.load(now))
         wall_ms = time.time_ns() // 1_000_000
         self._apply(
@@ -329,13 +331,13 @@
             elif isinstance(decision, WatchBox):
                 self._watch(decision)
             elif isinstance(decision, LeaveBox):
-                keeper = self._keepers.pop(decision.incarnation, None)
-                if keeper is not None:
-                    keeper.stop()
+                poller = self._pollers.pop(decision.incarnation, None)
+                if poller is not None:
+                    poller.stop()
             elif isinstance(decision, WithdrawStarts):
                 self._window.release_starts(decision.incarnations)
             elif isinstance(decision, PaceTask):
-                self._order(decision)
+                self._send_command(decision)
             elif isinstance(decision, AskAdvice):
                 self._start(self._advise, decision)
             elif isinstance(decision, StepDown):
@@ -344,7 +346,7 @@
             self._journal.request_batch()
 
     def _watch(self, decision: WatchBox) -> None:
-        keeper = BoxPoller(
+        poller = BoxPoller(
             decision.incarnation,
             decision.address,
             self._epoch,
@@ -357,8 +359,8 @@
             self._lag,
             self._budget,
         )
-        self._keepers[decision.incarnation] = keeper
-        self._start(keeper.run)
+        self._pollers[decision.incarnation] = poller
+        self._start(poller.run)
 
     def _start(
         self, function: t.Callable[..., t.Coroutine[t.Any, t.Any, None]], *args: t.Any
@@ -373,31 +375,31 @@
             advice = await self._sources.advisor.advise(step, asked.incarnations)
         self._apply(self._scheduler.advised(asked, advice, time.monotonic()))
 
-    def _release(self, held: list[t.Any]) -> None:
-        self._store_answers()
+    def _apply_durable(self, held: list[t.Any]) -> None:
+        self._log_store_back()
         for decision in held:
             if isinstance(decision, AnswerCall):
                 self._answer(decision)
             elif isinstance(decision, StartTask | StopTask):
-                self._order(decision)
+                self._send_command(decision)
             elif isinstance(decision, ResumeLeases):
                 self._scheduler.fleet.resume_leases(decision)
             elif isinstance(decision, AcknowledgeEnds):
-                keeper = self._keepers.get(decision.incarnation)
-                if keeper is not None:
-                    keeper.mark_ends_durable(decision.number)
+                poller = self._pollers.get(decision.incarnation)
+                if poller is not None:
+                    poller.mark_ends_durable(decision.number)
 
-    def _order(self, decision: StartTask | StopTask | PaceTask) -> None:
-        keeper = self._keepers.get(decision.incarnation)
-        if keeper is None or self._tasks is None:
+    def _send_command(self, decision: StartTask | StopTask | PaceTask) -> None:
+        poller = self._pollers.get(decision.incarnation)
+        if poller is None or self._tasks is None:
             return
-        self._tasks.start_soon(keeper.execute, decision)
+        self._tasks.start_soon(poller.execute, decision)
 
     def _answer(self, decision: AnswerCall) -> None:
         caller = self._callers.get(decision.request)
         if caller is not None:
             caller.outcome = decision.outcome
-            caller.news.set()
+            caller.changed.set()
 
     async def call(self, request: str, call: JobCall) -> JobOutcome:
         """Decide on a client's call; the answer is durable.
@@ -410,18 +412,18 @@
         try:
             self._apply(self._scheduler.called(request, call, time.monotonic()))
             while caller.outcome is None and not self._over:
-                await caller.news.wait()
+                await caller.changed.wait()
         finally:
             del self._callers[request]
         if caller.outcome is None:
             raise Deposed
         return caller.outcome
 
-    def hears_of(self, epoch: int) -> None:
+    def observe_epoch(self, epoch: int) -> None:
         """Learn that other processes follow an epoch: a newer one must be ruled out by
         the store before anything leaves."""
-        if epoch > self._epoch_heard:
-            self._epoch_heard = epoch
+        if epoch > self._newest_epoch:
+            self._newest_epoch = epoch
             self._log.event("newer_epoch_heard", epoch=self._epoch, heard=epoch)
             self._leader_lease.invalidate()
 
@@ -431,29 +433,29 @@
 
         :raises Deposed: if it does not decide any more.
         """
-        if self._leader_lease.is_confirmed_within(CONFIRMED_S):
+        if self._leader_lease.is_confirmed_within(MAX_CONFIRMATION_AGE_S):
             return True
         asked = steadyclock.now()
         while self._journal.status.confirmed_at < asked:
             if self._over:
                 raise Deposed
-            if self.store_away:
+            if self.store_unavailable:
                 return False
             self._journal.request_append()
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_INTERVAL_S)
         return True
 
     async def drain(self) -> None:
         """Return once all that was decided is durable and its effects are out."""
         while not self._journal.idle and not self._over:
-            await anyio.sleep(RETRY_S / 10)
+            await anyio.sleep(RETRY_INTERVAL_S / 10)
 
 
 class _Caller:
     """Somebody waiting for the outcome of a call."""
 
-    __slots__ = ("news", "outcome")
+    __slots__ = ("changed", "outcome")
 
     def __init__(self) -> None:
-        self.news = anyio.Event()
+        self.changed = anyio.Event()
         self.outcome: JobOutcome | None = None
--- a/src/granitetrestle/submissions.py
+++ b/src/granitetrestle/submissions.py
@@ -17,61 +17,61 @@
 
 __all__ = ["Submissions"]
 
-PATIENCE_S = 5.0
+SUBMISSION_TIMEOUT_S = 5.0
 RETRY_AFTER_S = 2.0
-MAX_WAITING = 5000
+MAX_PENDING_SUBMISSIONS = 5000
 
 
-class _Waiting(t.NamedTuple):
+class _Pending(t.NamedTuple):
     stream: str
-    gives_up_at: float
+    times_out_at: float
 
 
 class Submissions:
     """Changes whose record has not been read back yet."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, _Waiting] = {}
+        self._pending: dict[str, _Pending] = {}
         self._withdrawing: set[str] = set()
 
     def __len__(self) -> int:
-        return len(self._waiting) + len(self._withdrawing)
+        return len(self._pending) + len(self._withdrawing)
 
     def submit(self, request: str, stream: str, fact: Fact, now: float) -> list[Effect]:
         """Put a change on its way to the log."""
-        if len(self) >= MAX_WAITING:
+        if len(self) >= MAX_PENDING_SUBMISSIONS:
             busy = NotRun(Reason.OVERLOADED, RETRY_AFTER_S)
             return [Conclude(request, busy)]
-        self._waiting[request] = _Waiting(stream, now + PATIENCE_S)
+        self._pending[request] = _Pending(stream, now + SUBMISSION_TIMEOUT_S)
         return [AppendFacts(stream, (fact,), request)]
 
     def read_back(self, request: str, outcome: Outcome) -> list[Effect]:
         """Conclude a change whose record stands on the log."""
-        if not self._take(request):
+        if not self._remove(request):
             return []
         return [Conclude(request, outcome)]
 
-    def _take(self, request: str) -> bool:
+    def _remove(self, request: str) -> bool:
         if request in self._withdrawing:
             self._withdrawing.discard(request)
             return True
-        return self._waiting.pop(request, None) is not None
+        return self._pending.pop(request, None) is not None
 
     def tick(self, now: float) -> list[Effect]:
         """Take back what has waited too long."""
         effects: list[Effect] = []
-        for request, waiting in list(self._waiting.items()):
-            if now < waiting.gives_up_at:
+        for request, pending in list(self._pending.items()):
+            if now < pending.times_out_at:
                 # In order of arrival, so the first that may wait ends the look.
                 break
-            del self._waiting[request]
+            del self._pending[request]
             self._withdrawing.add(request)
-            effects.append(Withdraw(waiting.stream, request))
+            effects.append(Withdraw(pending.stream, request))
         return effects
 
     def withdrawn(self, event: FactsWithdrawn) -> list[Effect]:
         """Conclude a change that was taken back, or could not be."""
-        if not self._take(event.request):
+        if not self._remove(event.request):
             return []
         if event.unsent:
             refused = NotRun(Reason.LOG_UNAVAILABLE, RETRY_AFTER_S)
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -18,7 +18,7 @@
     ),
     Mutant(
         "native: the order to evacuate a hall is not read",
-        (("feeds.py", "halls.append(order)", "pass"),),
+        (("feeds.py", "directives.append(directive)", "pass"),),
         "native_evacuation",
     ),
     Mutant(
