--- a/src/granitetrestle/boxhealth.py
+++ b/src/granitetrestle/boxhealth.py
@@ -1,4 +1,4 @@
-"""Which boxes get no new work because they fail what they start."""
+"""Quarantine of boxes that fail the tasks they start: they get no new work for a while."""
 
 import typing as t
 
@@ -7,8 +7,8 @@
 
 __all__ = ["update_quarantine"]
 
-# So many failed attempts in a row, of so many accounts, put a box aside; for how long
-# (s) doubles with each further failure up to a bound.
+# A box is quarantined after this many failed attempts in a row, of this many client
+# accounts. The time doubles with each further failure, up to the maximum.
 MIN_FAILURES_TO_QUARANTINE: t.Final = 3
 MIN_ACCOUNTS_TO_QUARANTINE: t.Final = 2
 INITIAL_QUARANTINE_S: t.Final = 30.0
@@ -16,9 +16,9 @@
 
 
 def update_quarantine(box: BoxState, account: str, ending: Ending, now: float) -> None:
-    """Quarantine a box that fails the work of several accounts in a row.
+    """Quarantine a box that fails tasks of several client accounts in a row.
 
-    One account's failing jobs alone must not take boxes from the others.
+    The failing jobs of one account alone must not take boxes from the others.
     """
     if ending == "finished":
         box.failures_in_row = 0
--- a/src/granitetrestle/boxpoller.py
+++ b/src/granitetrestle/boxpoller.py
@@ -1,5 +1,5 @@
-"""Talks to one life of a box for the decider: looks at it again and again, which also
-renews its leases and confirms ends, and carries orders there."""
+"""Connection from the leader to one incarnation of a box: polls it, which also renews
+its leases and acknowledges ends, and sends commands to it."""
 
 import time
 import typing as t
@@ -31,28 +31,28 @@
 
 __all__ = ["BoxPoller"]
 
-# How long a look waits for ends to become durable before it goes out all the same,
-# to renew the lease.
+# A poll waits this long for ends to become durable, then goes out without them to renew
+# the lease.
 ENDS_DURABLE_TIMEOUT_S: t.Final = 0.8
-# Pauses after a look that failed, growing to the last.
+# After failed polls in a row; the last one repeats.
 RETRY_DELAYS_S: t.Final = (0.1, 0.2, 0.4, 0.8)
-# From this lag of its own event loop on a decider spaces its looks; by so many times
-# what the lag exceeds that, and never more than lets a lease of some seconds lapse.
+# Above this lag of its event loop a leader delays its polls, by the excess times the
+# factor. The maximum keeps a lease of some seconds from lapsing.
 LAG_THRESHOLD_S: t.Final = 0.04
 LAG_DELAY_FACTOR: t.Final = 6.0
 MAX_LAG_DELAY_S: t.Final = 0.8
-# An order that was not answered is given again, then counts as in doubt.
+# After this many unanswered attempts, the outcome of a command is unknown.
 MAX_COMMAND_ATTEMPTS: t.Final = 3
 
 
 class BoxPoller:
-    """The connection between the decider and one life of a box.
+    """Polls one incarnation of a box and sends it commands.
 
-    :param apply: takes decisions that follow from what was learnt.
-    :param right: this process's right to decide.
-    :param window: shared by all boxes of a decider.
-    :param budget: of the looks at all boxes.
-    :param lag: how far behind this process's own event loop is.
+    :param apply: carries out the decisions that follow from an answer.
+    :param leader_lease: lease under which this process decides.
+    :param window: congestion window shared by all boxes of a leader.
+    :param lag: lag of this process's event loop.
+    :param budget: limits on polls, shared by all boxes.
     """
 
     def __init__(
@@ -85,18 +85,18 @@
         self._scope = anyio.CancelScope()
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop polling."""
         self._scope.cancel()
 
     def mark_ends_durable(self, number: int) -> None:
-        """The box may forget ends up to ``number``."""
+        """Record that ends up to ``number`` are durable, so the box may drop them."""
         box = self._scheduler.state.boxes.get(self._incarnation)
         if box is not None:
             box.durable_known = max(box.durable_known, number)
             self._durable.set()
 
     async def run(self) -> None:
-        """Look at the box until it is left."""
+        """Poll the box until stopped."""
         with self._scope:
             await self._poll_repeatedly()
         self._budget.remove(self._incarnation)
@@ -122,8 +122,8 @@
             await self._delay_when_lagging()
 
     async def _wait_for_next_poll(self, parameters: PollParameters) -> None:
-        """Ask nothing for a while; a box that gets work is looked at again at once, also
-        if it came while the last look was under way: its lease must not lapse."""
+        """Pause between polls. A box that gets a task is polled again at once, also if
+        the task came during the last poll: its lease must not lapse."""
         if not parameters.pause_s:
             return
         box = self._scheduler.state.boxes.get(self._incarnation)
@@ -138,8 +138,8 @@
                 await self._task_assigned.wait()
 
     async def _delay_when_lagging(self) -> None:
-        """Look less often while this process can't keep up: orders come first, and ends
-        that are seen a little later cost less than starts that wait."""
+        """Poll less often while this process can't keep up: commands come first, since
+        ends that are seen a little later cost less than starts that wait."""
         lag_s = self._lag.lag_s
         if lag_s > LAG_THRESHOLD_S:
             await anyio.sleep(
@@ -147,7 +147,7 @@
             )
 
     async def _poll(self) -> PollParameters | None:
-        """Look once; returns how, or ``None`` if the box is not ours any more."""
+        """Poll once; return the parameters used, or ``None`` if the box has been removed."""
         box = self._scheduler.state.boxes.get(self._incarnation)
         if box is None:
             return None
@@ -197,7 +197,7 @@
         return True
 
     async def execute(self, command: StartTask | StopTask | PaceTask) -> None:
-        """Send an order, and let the decider know what came of it."""
+        """Send a command and report its outcome to the scheduler."""
         if isinstance(command, StartTask):
             await self._start(command)
         elif isinstance(command, StopTask):
@@ -282,14 +282,16 @@
     async def _send_once(
         self, send: t.Callable[[], t.Awaitable[CommandOutcome]], priority: int
     ) -> CommandOutcome:
-        # A stop ends a run for good whoever decides; a start begins one.
+        # A stop is final whoever leads, and a pace starts nothing; a start needs proof that
+        # this process still leads.
         needs_leader_lease = priority != URGENT
         while True:
             if needs_leader_lease:
                 await self._leader_lease.wait_until_valid()
             async with self._window.turn(priority, self._incarnation) as turn:
                 if needs_leader_lease and not self._leader_lease.is_valid():
-                    # Others have their turn meanwhile: without this a pace waited too.
+                    # Frees the turn for others: changes of pace waited behind starts
+                    # otherwise.
                     continue
                 outcome = await send()
                 if not isinstance(outcome, CommandNotSent):
@@ -298,9 +300,11 @@
 
     @staticmethod
     def _after_lost_attempt(outcome: CommandOutcome) -> CommandOutcome:
-        """A refusal does not prove that an earlier try will not be carried out."""
+        """A refusal does not prove that an earlier attempt will not be carried out."""
         if isinstance(outcome, CommandNotSent):
-            return BoxNoAnswer(f"{outcome.reason} after a try without answer")
+            return BoxNoAnswer(f"{outcome.reason} after an attempt without answer")
         if isinstance(outcome, CommandRejected) and outcome.reason != "fence":
-            return BoxNoAnswer(f"refused after a try without answer: {outcome.reason}")
+            return BoxNoAnswer(
+                f"refused after an attempt without answer: {outcome.reason}"
+            )
         return outcome
--- a/src/granitetrestle/commandwindow.py
+++ b/src/granitetrestle/commandwindow.py
@@ -1,7 +1,9 @@
-"""How many orders may be on their way at once. A burst of wide jobs through a small link
-queues up there: orders then time out before they have left, are sent again, and the link
-carries little else. So orders wait here instead, the urgent ones first, and their number
-follows how long answers take, as a congestion window does."""
+"""Congestion window for commands to boxes: limits how many are in flight at once.
+
+A burst of wide jobs fills the queue of a small link: commands then time out before they
+have left, are sent again, and the link carries little else. So commands queue here
+instead, the urgent ones first, and the window follows the latency of answers.
+"""
 
 import collections
 import contextlib
@@ -16,41 +18,41 @@
 
 __all__ = ["BEST_EFFORT", "URGENT", "SHORT", "UnlimitedWindow", "CommandWindow"]
 
-# Classes of orders: what frees room or protects others goes first, what fills last.
+# Priorities, the lowest value first. URGENT commands free capacity or protect other
+# tasks: stops and changes of pace.
 URGENT: t.Final = 0
 SHORT: t.Final = 1
 BEST_EFFORT: t.Final = 2
-# Orders that may be on their way at first, at least and at most. The most is what one
-# process's descriptors and the boxes' connections bear; it is far above what answers
-# within 10 ms ever need.
+# Commands in flight. The maximum is what one process's descriptors and the boxes'
+# connections allow; answers within 10 ms need far fewer.
 INITIAL_WINDOW_SIZE: t.Final = 32
 MIN_WINDOW_SIZE: t.Final = 4
 MAX_WINDOW_SIZE: t.Final = 256
 UNLIMITED_WINDOW_SIZE: t.Final = 1_000_000
-# Orders that go to one box at a time. Each has a connection of its own; a box takes 64
-# from everybody and drops what comes too fast, to be tried again only after a second.
+# In flight to one box. Each command has its own connection; a box accepts 64 from all
+# callers and drops connections that come too fast, which are retried only after 1 s.
 MAX_COMMANDS_PER_BOX: t.Final = 4
-# An answer that takes so many times the shortest of late has waited in a queue; answers
-# below the floor are never taken for slow, since a box of a few tenths of a core answers
-# in steps of some ms.
+# An answer that takes this many times the shortest recent one has waited in a queue.
+# Answers below the minimum never count as slow, since a box with a few tenths of a core
+# answers in steps of some ms.
 SLOW_ANSWER_FACTOR: t.Final = 5.0
 MIN_SLOW_ANSWER_S: t.Final = 0.08
-# Orders wait here at most for so many windows; further tasks keep their place in the
-# decider's order of urgency, and the boxes chosen for them their room.
+# Maximum length of the queue, in windows. Further tasks stay with the scheduler, which
+# may still reorder them and has reserved no capacity on boxes for them.
 MAX_QUEUE_WINDOWS: t.Final = 2
-# An order waits about so often for this process's own event loop. Without it a decider
-# that is busy with many boxes takes its own delay for the link's, and tasks wait beside
-# free room.
+# A command waits about this many times for the event loop of this process. Without this
+# term a leader that is busy with many boxes takes its own delay for the link's, and tasks
+# wait although boxes are free.
 LOOP_LAG_FACTOR: t.Final = 4.0
-# The window shrinks to this share, at most so often: once for each queue it caused.
+# The interval makes the window shrink once, not repeatedly, for each queue it caused.
 SHRINK_FACTOR: t.Final = 0.7
 MIN_SHRINK_INTERVAL_S: t.Final = 0.15
-# The shortest time is forgotten slowly, as paths change.
+# The shortest latency ages slowly, since network paths change.
 SHORTEST_ANSWER_GROWTH_PER_S: t.Final = 0.02
 
 
 class _QueuedCommand(t.NamedTuple):
-    """An order that waits: by class, then in the order of coming."""
+    """A command that waits, ordered by priority, then by arrival."""
 
     priority: int
     sequence: int
@@ -59,12 +61,12 @@
 
 
 class CommandWindow:
-    """Lets orders go as fast as they are answered.
+    """Lets commands go as fast as they are answered.
 
-    :param clock: seconds on a steady clock.
-    :param lag: how far behind this process's own event loop is.
-    :param slow_floor_s: answers that take less are never taken for slow.
-    :param at_least: how many orders may be on their way whatever happens.
+    :param clock: monotonic clock, in seconds.
+    :param lag: lag of this process's event loop.
+    :param min_slow_answer_s: answers that take less never count as slow.
+    :param min_size: minimum size of the window.
     """
 
     def __init__(
@@ -82,7 +84,7 @@
         self._in_flight = 0
         self._sequence = itertools.count()
         self._queue: list[_QueuedCommand] = []
-        # Orders on their way to each box, and those that wait for one of them to end.
+        # Commands in flight to each box, and those that wait for one of them to end.
         self._in_flight_to_box: collections.Counter[str] = collections.Counter()
         self._held_for_box: dict[str, list[_QueuedCommand]] = {}
         self._shortest_answer_s: float | None = None
@@ -92,23 +94,23 @@
 
     @property
     def size(self) -> int:
-        """How many orders may be on their way."""
+        """How many commands may be in flight."""
         return int(self._size)
 
     @property
     def waiting(self) -> int:
-        """How many orders wait for their turn."""
+        """How many commands wait for their turn."""
         return len(self._queue) + sum(map(len, self._held_for_box.values()))
 
     @property
     def remaining_capacity(self) -> int:
-        """How many more orders should be given: those that will be sent soon. Orders that
-        wait for one box alone do not count: it may be gone."""
+        """How many more commands the queue takes, so that all are sent soon. Commands
+        that wait for a single box don't count: it may be gone."""
         return max(0, MAX_QUEUE_WINDOWS * self.size - len(self._queue))
 
     @contextlib.asynccontextmanager
     async def turn(self, priority: int, incarnation: str) -> t.AsyncIterator["Turn"]:
-        """Wait for a turn to send an order of a class to a box; it ends with the block."""
+        """Wait for a turn to send a command to a box; it ends with the block."""
         entry = _QueuedCommand(
             priority, next(self._sequence), incarnation, anyio.Event()
         )
@@ -127,8 +129,8 @@
             self._grant_turns()
 
     def release_starts(self, incarnations: t.Collection[str]) -> None:
-        """Let starts on these boxes have their turn now: they are not wanted any more, so
-        nothing is sent, and their tasks need not wait to hear it."""
+        """Grant a turn at once to all queued starts on these boxes. They have been
+        withdrawn: nothing is sent, and their tasks needn't wait to be placed again."""
         for waiting in (self._queue, *self._held_for_box.values()):
             for entry in [
                 e
@@ -139,12 +141,12 @@
                 self._grant(entry)
         heapq.heapify(self._queue)
 
-    def _grant(self, entry: "_Waiting") -> None:
+    def _grant(self, entry: "_QueuedCommand") -> None:
         self._in_flight += 1
         self._in_flight_to_box[entry.incarnation] += 1
         entry.granted.set()
 
-    def _withdraw(self, entry: "_Waiting") -> None:
+    def _withdraw(self, entry: "_QueuedCommand") -> None:
         if entry in self._queue:
             self._queue.remove(entry)
             heapq.heapify(self._queue)
@@ -152,7 +154,7 @@
             self._held_for_box[entry.incarnation].remove(entry)
 
     def _requeue_for_box(self, incarnation: str) -> None:
-        """Let the orders to a box take part again after one there has ended."""
+        """Queue a box's held commands again after one to it has ended."""
         for entry in self._held_for_box.pop(incarnation, ()):
             heapq.heappush(self._queue, entry)
         if not self._in_flight_to_box[incarnation]:
@@ -167,7 +169,7 @@
             self._grant(entry)
 
     def record_answer(self, latency_s: float) -> None:
-        """Take note of how long an answer took."""
+        """Adapt the window to the latency of an answer."""
         now = self._clock()
         if self._shortest_answer_s is None:
             self._shortest_answer_s, self._shortest_answer_at = latency_s, now
@@ -185,8 +187,8 @@
             self._grow(1.0 / self._size)
 
     def record_no_answer(self) -> None:
-        """Take note of an order without an answer. One box alone may be gone; if other
-        answers were slow, it is the path."""
+        """Adapt the window to a command without an answer. That box alone may be gone;
+        only if the last answer was slow too is the link overloaded."""
         if self._last_answer_slow:
             self._shrink(self._clock())
 
@@ -200,23 +202,23 @@
 
 
 class UnlimitedWindow(CommandWindow):
-    """Baseline: all orders go at once."""
+    """Baseline for comparison: all commands go at once."""
 
     @property
     def size(self) -> int:
-        """More than there ever are."""
+        """More than there are ever commands."""
         return UNLIMITED_WINDOW_SIZE
 
 
 class Turn:
-    """One order on its way."""
+    """One command in flight."""
 
     def __init__(self, window: CommandWindow, started_at: float) -> None:
         self._window = window
         self._started_at = started_at
 
     def finish(self, answered: bool, now: float) -> None:
-        """Tell how it went."""
+        """Record whether the command was answered."""
         if answered:
             self._window.record_answer(now - self._started_at)
         else:
--- a/src/granitetrestle/interfaces.py
+++ b/src/granitetrestle/interfaces.py
@@ -1,7 +1,10 @@
-"""What the decider needs of the outside: a store that lasts, boxes that run tasks
-under leases, a source of configuration. Each is an abstract base class; the
-platform's implementation is in :mod:`.platform`, the tests' in the stand-ins.
-Every outcome is a type of its own, so that no caller has to guess."""
+"""Interfaces to the platform: a durable store, which also holds the configuration, boxes
+that run tasks under leases, and an advisor on placement.
+
+Each is an abstract base class; :mod:`.platform` implements it for the platform, the
+stand-ins for the tests. Every outcome has a type of its own, so that callers can tell
+them apart.
+"""
 
 import abc
 import typing as t
@@ -42,44 +45,47 @@
 
 
 class Record(t.NamedTuple):
-    """The newest value under a key; ``None`` drops the key."""
+    """The newest value under a key; ``None`` deletes the key."""
 
     key: str
     value: bytes | None
 
 
 class Writer(t.NamedTuple):
-    """Names one append of one epoch, so that the store can answer a repeat as it
-    answered the first and refuse those of older epochs."""
+    """Identifies one append of one epoch, so that the store can answer a repeat like
+    the first attempt and refuse appends of older epochs."""
 
     epoch: int
     sequence: int
 
 
 class Appended(t.NamedTuple):
-    """The records are kept."""
+    """The records are durable.
+
+    :param end: the topic's end offset after the append.
+    """
 
     end: int
 
 
 class Fenced(t.NamedTuple):
-    """A newer epoch writes here: the caller decides no more."""
+    """A newer epoch writes to this topic: the caller is deposed."""
 
 
 class NumberTaken(t.NamedTuple):
-    """The store expects another number of this epoch: somebody else has written in it.
+    """The store expects another sequence number: another writer uses this epoch.
 
-    :param wanted: the number that it expects.
+    :param wanted: the number that the store expects.
     """
 
     wanted: int
 
 
 class StoreUnavailable(t.NamedTuple):
-    """No use was made of the call, or its fate is unknown; it may be repeated.
+    """The call was not applied, or its fate is unknown; it may be repeated.
 
-    :param reason: a short word for logs.
-    :param undone: the store said that it did nothing.
+    :param reason: short text for logs.
+    :param not_applied: whether the call provably had no effect.
     """
 
     reason: str
@@ -87,16 +93,16 @@
 
 
 class NewestRecords(t.NamedTuple):
-    """The newest record of each key, and the offset at which to read on."""
+    """The newest record of each key, and the offset to read from next."""
 
     records: tuple[Record, ...]
     end: int
 
 
 class NewestPage(t.NamedTuple):
-    """Some of the newest records; the next page follows the last key of this one.
+    """A page of the newest records; the next page follows the last key of this one.
 
-    :param end: the offset after the last record of all when this page was made.
+    :param end: the offset after the topic's last record when this page was made.
     """
 
     records: tuple[Record, ...]
@@ -105,9 +111,10 @@
 
 
 class NewestUnavailable(t.NamedTuple):
-    """The newest records could not all be read.
+    """The newest records could not be read completely.
 
-    :param pages: how many pages came, with so many records.
+    :param pages: how many pages were read.
+    :param records: how many records these pages held.
     """
 
     reason: str
@@ -116,18 +123,18 @@
 
 
 class Records(t.NamedTuple):
-    """Records in order, and the offset at which to read on."""
+    """Records in order, and the offset to read from next."""
 
     records: tuple[Record, ...]
     end: int
 
 
 class RecordsGone(t.NamedTuple):
-    """The records asked for were dropped; start over from the newest."""
+    """The records asked for were dropped; start over from the newest ones."""
 
 
 class Store(abc.ABC):
-    """A log with topics, of which the newest record under each key lasts."""
+    """A log with topics, compacted to the newest record of each key."""
 
     @abc.abstractmethod
     async def append(
@@ -140,36 +147,38 @@
         """Append all records or none.
 
         :param writer: fences older epochs; ``None`` for an unfenced topic. An append
-            that repeats another's number is answered as that one was, and keeps nothing.
+            that repeats an earlier sequence number is answered like that one and
+            writes nothing.
         """
 
     @abc.abstractmethod
     async def newest_page(
         self, topic: str, after: str | None, timeout_s: float
     ) -> NewestPage | StoreUnavailable:
-        """Return some of the newest records, one for each key. The pages of a topic are
-        no snapshot; :mod:`.newestread` reads them all.
+        """Return a page of the newest records, one for each key. The pages of a topic
+        are no snapshot; :mod:`.newestread` reads all of them.
 
-        :param after: last key of the page before; ``None`` for the first page.
+        :param after: last key of the previous page; ``None`` for the first page.
         """
 
     @abc.abstractmethod
     async def read(
         self, topic: str, start: int, wait_s: float
     ) -> Records | RecordsGone | StoreUnavailable:
-        """Return the records from ``start`` on, waiting for one if there is none."""
+        """Return the records from ``start`` on; wait up to ``wait_s`` if there is none."""
 
 
 class BoxEntry(t.NamedTuple):
-    """One life of a box, as it describes itself.
+    """One incarnation of a box, as it describes itself.
 
-    :param life: its name, which differs after each restart; see :mod:`.incarnations`.
+    :param incarnation: its name, which differs after each restart; see
+        :mod:`.incarnations`.
     :param hall: its data hall.
     :param rack: empty if unknown.
     :param cpu: thousandths of a core.
-    :param leaving_in_s: least time left when draining, else ``None``.
-    :param cold: whether it is slow still, as after a start.
-    :param box_id: the id that it is reached by; a restart may keep it.
+    :param leaving_in_s: minimum time left when draining, else ``None``.
+    :param cold: whether it is still slow, as after a start.
+    :param box_id: the id under which it is reached; a restart may keep it.
     """
 
     incarnation: str
@@ -189,14 +198,14 @@
 
 
 class Queue(t.NamedTuple):
-    """A queue for jobs, as configured. Durations are in milliseconds.
+    """A configured queue for jobs. Durations are in milliseconds.
 
-    :param priority: 0 goes first.
-    :param stretch: the latency objective is this times the job's longest chain of
-        work, plus ``target_ms``.
+    :param priority: 0 is the most urgent.
+    :param objective_factor: the latency objective is this factor times the job's
+        longest chain of work, plus ``target_ms``.
     :param max_attempts: failed runs of a task before its job fails.
-    :param advised: a service must name the boxes that may run a step.
-    :param advice_valid_ms: how long such an answer holds.
+    :param advised: whether the advisor must name the boxes that may run a step.
+    :param advice_valid_ms: how long its answer is valid.
     """
 
     name: str
@@ -212,9 +221,9 @@
 
 
 class Config(t.NamedTuple):
-    """A configuration as a whole.
+    """A complete configuration.
 
-    :param guarded: service -> whether its boxes refuse what does not fit.
+    :param enforces_capacity: service -> whether its boxes refuse tasks that don't fit.
     """
 
     version: int
@@ -224,9 +233,9 @@
 
 
 class HallDirective(t.NamedTuple):
-    """What operators ask of a data hall.
+    """Operators' directive about a data hall.
 
-    :param evacuated: nothing further is to be sent to its boxes; else it is in use.
+    :param evacuated: whether nothing more is sent to its boxes; else it is in use.
     """
 
     hall: str
@@ -234,7 +243,7 @@
 
 
 class TaskCommand(t.NamedTuple):
-    """Names one run of a task on one life of a box."""
+    """Identifies one run of a task on one incarnation of a box."""
 
     incarnation: str
     address: str
@@ -243,9 +252,9 @@
 
 
 class CommandAccepted(t.NamedTuple):
-    """The box did it, or had done so before.
+    """The box carried out the command, now or earlier.
 
-    :param clock_ms: the box's steady clock.
+    :param clock_ms: the box's monotonic clock.
     """
 
     clock_ms: int
@@ -254,8 +263,8 @@
 class CommandRejected(t.NamedTuple):
     """The box did nothing.
 
-    :param reason: ``fence`` a newer epoch gave orders there; ``old`` a later run was
-        seen; ``late`` the lease is over already; ``room``; ``ticket``; ``unhealthy``;
+    :param reason: ``fence``: a newer epoch has sent commands; ``old``: a later run was
+        seen; ``late``: the lease has expired; ``room``; ``ticket``; ``unhealthy``;
         ``malformed``.
     """
 
@@ -264,25 +273,25 @@
 
 
 class CommandNotSent(t.NamedTuple):
-    """The order was withdrawn before it was sent: the box knows nothing of it."""
+    """The command was withdrawn before it was sent: the box does not know of it."""
 
     reason: str
 
 
 class BoxReplaced(t.NamedTuple):
-    """Another life answers at the address: the one meant runs nothing any more.
+    """Another incarnation answers at the address: the addressed one has ended.
 
-    :param reached: whether an earlier try of the order may have reached that one.
+    :param reached: whether an earlier attempt may have reached the addressed one.
     """
 
     reached: bool = False
 
 
 class BoxNoAnswer(t.NamedTuple):
-    """It may have been done, or may still be done later.
+    """The call may have been carried out, or may still be later.
 
-    :param sent: false if the call provably never left, for want of a connection.
-    :param timed_out: whether the time was over, with the connection still open.
+    :param sent: false if the call provably never left, for lack of a connection.
+    :param timed_out: whether it timed out with the connection still open.
     """
 
     reason: str
@@ -296,12 +305,12 @@
 
 
 class RunningTask(t.NamedTuple):
-    """A task at work on a box.
+    """A task that runs on a box.
 
-    :param saved: its newest checkpoint, or empty.
-    :param percent: how far it has come.
-    :param figure: tail latency in ms of a task that serves, else thousandths of a
-        core in use; a rough value of the last half second.
+    :param checkpoint: its newest checkpoint, or empty.
+    :param percent: progress.
+    :param measurement: tail latency in ms for a serving task, else thousandths of a
+        core in use; a rough value over the last half second.
     """
 
     task: str
@@ -312,9 +321,9 @@
 
 
 class EndedRun(t.NamedTuple):
-    """The end of a run, which the box keeps until told that it is known.
+    """The end of a run, which the box keeps until it is acknowledged.
 
-    :param number: rises by one with each end within a life of the box.
+    :param number: rises by one with each end within an incarnation of the box.
     :param how: ``done``, ``failed``, ``stopped``, ``lapsed``, ``broken``, ``alone``.
     """
 
@@ -326,9 +335,10 @@
 
 
 class PollResult(t.NamedTuple):
-    """All that runs on a box, and the ends not yet known, the first ones first.
+    """All runs on a box, and the ends not yet acknowledged, the oldest first.
 
-    :param more_ends: whether there may be ends that are listed only once these are known.
+    :param clock_ms: the box's monotonic clock.
+    :param more_ends: whether further ends may be listed once these are acknowledged.
     """
 
     clock_ms: int
@@ -343,8 +353,8 @@
 class Advice(t.NamedTuple):
     """Which boxes may run a step.
 
-    :param tickets: life of a box -> what a start there must bring.
-    :param valid_s: how long they hold, in seconds.
+    :param tickets: incarnation of a box -> ticket that a start there must carry.
+    :param valid_s: how long the tickets are valid, in seconds.
     """
 
     tickets: dict[str, str]
@@ -352,13 +362,13 @@
 
 
 class AdviceUnavailable(t.NamedTuple):
-    """No advice came; it may be asked for again."""
+    """No advice was given; the call may be repeated."""
 
     reason: str
 
 
 class Advisor(abc.ABC):
-    """Knows which boxes may run the steps of some queues."""
+    """Decides which boxes may run the steps of queues with ``advised`` set."""
 
     @abc.abstractmethod
     async def advise(
@@ -380,9 +390,10 @@
         lease_ends_ms: int | None,
         wait_ms: int,
     ) -> PollOutcome:
-        """Confirm ends up to ``acknowledged``, extend the lease, return what runs.
+        """Acknowledge ends, extend the lease, return what runs.
 
-        :param lease_ends_ms: end of the lease of all that runs, on the box's clock.
+        :param acknowledged: number of the last end that is acknowledged.
+        :param lease_ends_ms: end of the lease of all runs, on the box's clock.
         :param wait_ms: how long the answer may wait for an end.
         """
 
@@ -400,10 +411,10 @@
 
     @abc.abstractmethod
     async def stop(self, command: TaskCommand, token: int) -> CommandOutcome:
-        """Stop a run, or see to it that it never begins."""
+        """Stop a run, or keep it from starting if it has not."""
 
     @abc.abstractmethod
     async def pace(
         self, command: TaskCommand, token: int, percent: int
     ) -> CommandOutcome:
-        """Let a run work at a share of its speed."""
+        """Set the share of its full speed that a run may use."""
--- a/src/granitetrestle/pollbudget.py
+++ b/src/granitetrestle/pollbudget.py
@@ -1,10 +1,13 @@
-"""How many looks at boxes a decider can afford. A look that waits for an end holds a
-connection, and beginning one costs a handshake: with ten boxes for each process of its
-own, a decider ran out of descriptors and ended, and so did each of its successors.
+"""Budget for polls of boxes, by connections and by rate.
 
-So looks wait only while there are connections for that. Beyond it a box that runs nothing
-is looked at now and then, and one that works is asked again and again instead. First looks
-and those at boxes that fell silent wait for each other, as many at once as are answered."""
+A long poll, which waits for the end of a run, holds a connection, and opening one costs a
+handshake. Without a budget, a leader with ten boxes for each of its connections ran out
+of descriptors and ended, and so did each successor.
+
+So polls are long only while connections are free. Beyond that, idle boxes are polled at a
+low rate, and busy ones at short intervals. Contact polls (the first one of a box, and
+those of boxes that fell silent) share a window that follows how fast they are answered.
+"""
 
 import math
 import typing as t
@@ -17,31 +20,29 @@
 
 __all__ = ["PollBudget", "PollParameters"]
 
-# Parts of a process's connections that looks may hold while they wait: at boxes that run
-# nothing, and in all. The rest is for orders (256 at once), peers, which take up to three
-# descriptors each, and clients.
+# Shares of a process's connections: up to the first one, idle boxes get long polls; up to
+# the second, busy ones do. The rest is for commands (256 at once), peers (up to three
+# descriptors each) and clients.
 MAX_IDLE_CONNECTION_SHARE: t.Final = 0.1
 MAX_CONNECTION_SHARE: t.Final = 0.4
-# Without a look that waits, the end of a task is seen this much later at most.
+# Without long polls, the end of a task is seen later by up to this time.
 BUSY_POLL_INTERVAL_S: t.Final = 0.8
-# Looks a second at boxes that run nothing, all together: a small part of what the smallest
-# process can make. The store's list says sooner which of them are gone.
+# Shared by all idle boxes without long polls: a small part of what the smallest process
+# can make. The list of boxes in the store shows sooner which of them are gone.
 MAX_IDLE_POLLS_PER_S: t.Final = 60.0
 MIN_IDLE_POLL_INTERVAL_S: t.Final = 2.0
-
-
-# Answers within half of the time after which first looks are given up show no overload,
-# also where a process gets its processor in steps of a tenth of a second.
+# Answers within half the timeout of contact polls are no sign of overload, also where a
+# process gets its processor in slices of 0.1 s.
 MIN_SLOW_CONTACT_S: t.Final = 0.35
 MIN_CONTACT_WINDOW_SIZE: t.Final = 16
 
 
 class PollParameters(t.NamedTuple):
-    """How a look is made.
+    """How a box is polled.
 
-    :param waits: whether its answer may wait for an end.
-    :param pause_s: how long afterwards nothing is asked, unless the box gets work.
-    :param idle: whether this rests on the box running nothing.
+    :param long_poll: whether the answer may wait for the end of a run.
+    :param pause_s: pause after the poll; an idle box that gets a task ends it.
+    :param idle: whether these parameters hold only while the box runs nothing.
     """
 
     long_poll: bool
@@ -50,8 +51,8 @@
 
 
 class ContactWindow(CommandWindow):
-    """Looks that begin. A box that is gone holds its turn until it is given up, but costs
-    nothing meanwhile: as long as the others answer quickly, more may begin beside it."""
+    """Window for contact polls. A box that is gone holds its turn until the poll times
+    out, but costs nothing meanwhile, so the window grows while others answer quickly."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -67,7 +68,7 @@
 
 
 class PollBudget:
-    """Shared by all looks of a decider.
+    """Budget shared by all polls of a leader.
 
     :param connections: how many this process may have open.
     """
@@ -75,24 +76,24 @@
     def __init__(self, connections: int) -> None:
         self._connections = connections
         self._long_polls = 0
-        # Boxes whose looks don't wait; they share the rate of looks.
+        # Idle boxes without long polls; they share the rate of polls.
         self._paused_boxes: set[str] = set()
         self._contact_window: CommandWindow = ContactWindow()
 
     @property
     def long_polls(self) -> int:
-        """Looks under way whose answer may wait."""
+        """How many long polls are under way."""
         return self._long_polls
 
     @property
     def contact_window(self) -> CommandWindow:
-        """Lets first looks, and those at silent boxes, begin."""
+        """Window for contact polls."""
         return self._contact_window
 
     @staticmethod
     def contact_priority(box: BoxView) -> int | None:
-        """Return the class in which a look at ``box`` has to wait for its turn to begin,
-        or ``None`` if it needs no turn."""
+        """Return the priority at which a poll of ``box`` waits for a turn in the window
+        for contact polls, or ``None`` if it needs no turn."""
         if box.silent_since is not None:
             return BEST_EFFORT
         if box.adopted:
@@ -100,7 +101,7 @@
         return URGENT if box.tasks else SHORT
 
     def parameters(self, box: BoxView) -> PollParameters:
-        """Return how the next look at an adopted box is made."""
+        """Return how an adopted box is polled next."""
         share = MAX_CONNECTION_SHARE if box.tasks else MAX_IDLE_CONNECTION_SHARE
         if self._long_polls < share * self._connections:
             self._paused_boxes.discard(box.incarnation)
@@ -115,13 +116,13 @@
         )
 
     def remove(self, incarnation: str) -> None:
-        """A box is not looked at any more."""
+        """Remove a box that is no longer polled."""
         self._paused_boxes.discard(incarnation)
 
     def add_long_poll(self) -> None:
-        """Count a look whose answer may wait."""
+        """Count a long poll that starts."""
         self._long_polls += 1
 
     def remove_long_poll(self) -> None:
-        """Count it as answered, or given up."""
+        """Count a long poll that was answered or given up."""
         self._long_polls -= 1
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -37,7 +37,9 @@
         (
             (
                 "commandwindow.py",
-                "for entry in [e for e in waiting if e.priority != URGENT and e.incarnation in incarnations]:",
+                "for entry in [\n                e\n                for e in waiting\n"
+                "                if e.priority != URGENT and e.incarnation in incarnations\n"
+                "            ]:",
                 "for entry in list[_QueuedCommand]():",
             ),
         ),
