--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -94,7 +94,7 @@
         self.feed.load(NewestRecords(records, 0))
 
     def follow(self, *records):
-        self.feed._take(records)
+        self.feed._apply_records(records)
 
     def used(self):
         boxes = self.scheduler.state.boxes
