--- a/src/granitetrestle/pollbudget.py
+++ b/src/granitetrestle/pollbudget.py
@@ -1,7 +1,7 @@
 """Budget for polls of boxes, by connections and by rate.
 
 A long poll, which waits for the end of a run, holds a connection, and opening one costs a
-handshake. Without a budget, a leader with ten boxes for each of its connections ran out
+handshake. Without a budget, with ten boxes for each scheduler process, a leader ran out
 of descriptors and ended, and so did each successor.
 
 So polls are long only while connections are free. Beyond that, idle boxes are polled at a
