--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -45,7 +45,7 @@
 CALL = ClientCall("POST", "host", "/q/1", b"{}")
 
 
-class JournalRun:
+class JournalHarness:
     """A journal whose decisions are set by the test."""
 
     def __init__(self, lose):
@@ -88,12 +88,12 @@
 
 @given("a journal on a store that loses {lose:d} answers")
 def a_journal(context, lose):
-    context.run = JournalRun(lose)
+    context.run = JournalHarness(lose)
 
 
 @given("a journal on a store that takes {seconds:g} seconds for an append")
 def slow_journal(context, seconds):
-    context.run = JournalRun(0)
+    context.run = JournalHarness(0)
     store = context.run.store
     append = store.append
 
@@ -114,12 +114,12 @@
 @when("a decision is written")
 def written(context):
     async def script():
-        began = time.monotonic()
+        started_at = time.monotonic()
         context.run.decide()
         with anyio.move_on_after(2.0):
             while not context.run.released:
                 await anyio.sleep(0.01)
-        context.run.released_in_s = time.monotonic() - began
+        context.run.released_in_s = time.monotonic() - started_at
         await anyio.sleep(0.6)
 
     anyio.run(context.run.run, script)
@@ -188,7 +188,7 @@
     assert context.run.released == []
 
 
-class Relay:
+class ForwardingHarness:
     """A forwarding whose deciders are played by the test."""
 
     def __init__(self):
@@ -222,21 +222,21 @@
 
 @given("a request that was sent {sent} and then refused")
 def refused_request(context, sent):
-    relay = Relay()
-    relay.leader = Target("n1", 1)
+    harness = ForwardingHarness()
+    harness.leader = Target("n1", 1)
 
     async def script():
         await anyio.sleep(0.05)
         if sent == "twice":
             await anyio.sleep(0.75)
-            assert len(relay.sent) == 2
+            assert len(harness.sent) == 2
         if sent == "to two deciders":
-            relay.leader = Target("n2", 2)
-            relay.forwarding.leader_changed()
+            harness.leader = Target("n2", 2)
+            harness.forwarding.leader_changed()
             await anyio.sleep(0.05)
-        relay.answer(503)
+        harness.answer(503)
 
-    context.answer = anyio.run(relay.serve, script)
+    context.answer = anyio.run(harness.serve, script)
 
 
 @then("the client is told {code:d}")
@@ -245,40 +245,40 @@
 
 
 @given("a request whose decider dies without an answer")
-def decider_dies(context):
-    context.relay = Relay()
-    context.relay.leader = Target("n1", 1)
+def leader_dies(context):
+    context.harness = ForwardingHarness()
+    context.harness.leader = Target("n1", 1)
 
 
 @when("a successor is known")
 def successor_known(context):
-    relay = context.relay
+    harness = context.harness
 
     async def script():
         await anyio.sleep(0.05)
-        relay.leader = None
-        relay.forwarding.leader_changed()
+        harness.leader = None
+        harness.forwarding.leader_changed()
         await anyio.sleep(0.05)
-        relay.leader = Target("n2", 2)
-        relay.forwarding.leader_changed()
+        harness.leader = Target("n2", 2)
+        harness.forwarding.leader_changed()
         await anyio.sleep(0.05)
-        relay.answer(200, b"yes")
+        harness.answer(200, b"yes")
 
-    context.answer = anyio.run(relay.serve, script)
+    context.answer = anyio.run(harness.serve, script)
 
 
 @when("no successor comes")
 def no_successor(context):
-    relay = context.relay
+    harness = context.harness
 
     async def script():
         await anyio.sleep(0.05)
-        relay.leader = None
-        relay.forwarding.leader_changed()
+        harness.leader = None
+        harness.forwarding.leader_changed()
 
-    began = time.monotonic()
-    context.answer = anyio.run(relay.serve, script)
-    context.took_s = time.monotonic() - began
+    started_at = time.monotonic()
+    context.answer = anyio.run(harness.serve, script)
+    context.took_s = time.monotonic() - started_at
 
 
 @then(
@@ -291,18 +291,18 @@
 
 @then("the successor is asked and its answer is passed on")
 def successor_asked(context):
-    assert [node for node, _ in context.relay.sent] == ["n1", "n2"]
+    assert [node for node, _ in context.harness.sent] == ["n1", "n2"]
     assert (context.answer.status, context.answer.body) == (200, b"yes")
 
 
 @given("a request when no decider is known")
-def no_decider(context):
+def no_leader(context):
     async def script():
         return None
 
-    began = time.monotonic()
-    context.answer = anyio.run(Relay().serve, script)
-    context.took_s = time.monotonic() - began
+    started_at = time.monotonic()
+    context.answer = anyio.run(ForwardingHarness().serve, script)
+    context.took_s = time.monotonic() - started_at
 
 
 @then("it is refused within {seconds:g} seconds with a time to come back")
@@ -399,10 +399,10 @@
 
 @then("ten thousand events are written in no time, and the drops are counted")
 def bounded(context):
-    began = time.monotonic()
+    started_at = time.monotonic()
     for number in range(10_000):
         context.log.event(f"kind{number % 100}", text="x" * 100)
-    took_s = time.monotonic() - began
+    took_s = time.monotonic() - started_at
     assert took_s < 5.0, took_s
     assert context.log.dropped > 0
     for descriptor in context.pipe:
@@ -432,16 +432,16 @@
 
 @given("a request that {state} when its process ends")
 def process_ends(context, state):
-    relay = Relay()
-    relay.leader = None if "no decider" in state else Target("n1", 1)
+    harness = ForwardingHarness()
+    harness.leader = None if "no decider" in state else Target("n1", 1)
 
     async def script():
         await anyio.sleep(0.05)
-        relay.forwarding.close()
+        harness.forwarding.close()
 
-    began = time.monotonic()
-    context.answer = anyio.run(relay.serve, script)
-    context.took_s = time.monotonic() - began
+    started_at = time.monotonic()
+    context.answer = anyio.run(harness.serve, script)
+    context.took_s = time.monotonic() - started_at
 
 
 @then("the client is told {code:d} at once")
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -32,46 +32,52 @@
 from rights import CONFIRMED
 
 # By how much each image stretches the work of serving tasks with a whole box.
-STRENGTHS = {"bad": 5.0, "mild": 0.3}
+SENSITIVITIES = {"bad": 5.0, "mild": 0.3}
 
 
 @given("six serving tasks of one step, three beside an image that disturbs")
 def six_tasks(context):
     context.interference = Interference()
-    context.found_at = None
+    context.classified_at = None
     load = StepLoad()
     for tick in range(60):
         now = tick * 0.5
-        at_rest = 0.3 + 0.3 * abs((tick % 20) / 10.0 - 1.0)
+        true_load = 0.3 + 0.3 * abs((tick % 20) / 10.0 - 1.0)
         for number in range(6):
-            beside = {"bad": 0.1, "mild": 0.1} if number < 3 else {"mild": 0.1}
-            busy = at_rest * (1.0 + sum(STRENGTHS[f] * x for f, x in beside.items()))
+            best_effort_shares = (
+                {"bad": 0.1, "mild": 0.1} if number < 3 else {"mild": 0.1}
+            )
+            busy = true_load * (
+                1.0 + sum(SENSITIVITIES[f] * x for f, x in best_effort_shares.items())
+            )
             context.interference.observe(
-                "serving", busy, load.predict(now), load.variance, beside
+                "serving", busy, load.predict(now), load.variance, best_effort_shares
             )
             load.observe(
                 busy,
-                context.interference.slowdown("serving", beside),
-                context.interference.slowdown_variance("serving", beside),
+                context.interference.slowdown("serving", best_effort_shares),
+                context.interference.slowdown_variance("serving", best_effort_shares),
                 now,
             )
         highly_sensitive = context.interference.highly_sensitive
         if highly_sensitive("serving", "bad") and not highly_sensitive(
             "serving", "mild"
         ):
-            context.found_at = context.found_at or now
+            context.classified_at = context.classified_at or now
         if tick > 10:
-            assert abs(load.predict(now) - at_rest) < 0.08, (
+            assert abs(load.predict(now) - true_load) < 0.08, (
                 now,
                 load.predict(now),
-                at_rest,
+                true_load,
             )
 
 
 @then("the disturbing image is found, and the harmless one is not blamed")
-def found(context):
-    assert context.found_at is not None and context.found_at <= 2.0, context.found_at
-    for best_effort, sensitivity in STRENGTHS.items():
+def classified(context):
+    assert context.classified_at is not None and context.classified_at <= 2.0, (
+        context.classified_at
+    )
+    for best_effort, sensitivity in SENSITIVITIES.items():
         seen = context.interference.sensitivity("serving", best_effort)
         assert abs(seen - sensitivity) < 1.0, (best_effort, seen)
 
@@ -83,7 +89,7 @@
         successor.restore(image, row)
     assert successor.highly_sensitive("serving", "bad")
     assert not successor.highly_sensitive("serving", "mild")
-    assert successor.best_effort_images == set(STRENGTHS)
+    assert successor.best_effort_images == set(SENSITIVITIES)
     assert not context.interference.take_changed_rows(), "nothing has changed since"
 
 
@@ -109,7 +115,7 @@
 
 
 @then("weak ones run at full pace, and one strong one gets what is left")
-def weak_first(context):
+def low_sensitivity_first(context):
     changes = pace_changes(context.box, context.interference, 10.0)
     paces = {change.task.spec.image: [] for change in changes}
     for change in changes:
@@ -184,11 +190,11 @@
     assert tolerable_pace(step, context.box, load, context.interference) > 0.0
 
 
-class CountingBox(BoxCalls):
+class ConcurrencyCountingBox(BoxCalls):
     """Notes how many orders are under way at once."""
 
     def __init__(self):
-        self.now, self.most, self.stopped = 0, 0, []
+        self.in_flight, self.max_in_flight, self.stopped = 0, 0, []
 
     async def poll(self, *arguments):
         raise NotImplementedError
@@ -196,24 +202,24 @@
     start = pace = poll
 
     async def stop(self, order, token):
-        self.now += 1
-        self.most = max(self.most, self.now)
+        self.in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         await anyio.sleep(0.01)
-        self.now -= 1
+        self.in_flight -= 1
         self.stopped.append(order.task)
         return CommandAccepted(1)
 
 
 @given("a box that counts the orders it is given at once")
 def counting_box(context):
-    context.calls = CountingBox()
+    context.calls = ConcurrencyCountingBox()
 
 
 @when("thirty stops are ordered together")
 def thirty_stops(context):
-    async def wave():
+    async def stop_together():
         scheduler = Scheduler(SchedulerParameters(), 0.0)
-        keeper = BoxPoller(
+        poller = BoxPoller(
             "b1",
             "a",
             1,
@@ -228,12 +234,12 @@
         )
         async with anyio.create_task_group() as tasks:
             for number in range(30):
-                tasks.start_soon(keeper.execute, StopTask("b1", f"1.0.0.{number}", 1))
+                tasks.start_soon(poller.execute, StopTask("b1", f"1.0.0.{number}", 1))
 
-    anyio.run(wave)
+    anyio.run(stop_together)
 
 
 @then("all thirty arrived, and never more than {most:d} at once")
 def few_at_once(context, most):
     assert len(set(context.calls.stopped)) == 30
-    assert context.calls.most <= most, context.calls.most
+    assert context.calls.max_in_flight <= most, context.calls.max_in_flight
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -45,7 +45,7 @@
 SHORT = Step(count=1, cpu=19_000, memory_mb=100, estimate_ms=800)
 
 
-class Desk:
+class SchedulerHarness:
     """A decider among boxes that do at once what they are told."""
 
     def __init__(self, boxes, off=frozenset()):
@@ -70,7 +70,7 @@
         }
         self.scheduler.fleet.listed(self.entries, self.now)
         self.ends = 0
-        self.notes = []
+        self.log_events = []
         for incarnation in self.entries:
             self.poll(incarnation)
 
@@ -83,7 +83,7 @@
             if task.name not in over
         )
         outcome = PollResult(1000, running, tuple(ended))
-        self.take(
+        self.apply(
             self.scheduler.fleet.poll_answered(incarnation, self.now, self.now, outcome)
         )
 
@@ -92,7 +92,7 @@
         row = EndedRun(self.ends, task.name, task.run, how, "")
         self.poll(task.box, [row])
 
-    def take(self, decisions):
+    def apply(self, decisions):
         for decision in decisions:
             if isinstance(decision, StartTask):
                 self.scheduler.start_answered(
@@ -103,16 +103,16 @@
                     self.now,
                 )
             elif isinstance(decision, LogEvent):
-                self.notes.append(decision)
+                self.log_events.append(decision)
 
     def submit(self, job, *steps):
         call = SubmitJob(Submission(job, "q", "pool", "", steps))
-        self.take(self.scheduler.called("r", call, self.now))
+        self.apply(self.scheduler.called("r", call, self.now))
         self.decide()
         return self.scheduler.state.workflows[job]
 
     def decide(self):
-        self.take(self.scheduler.decide(self.now, int(self.now * 1000)))
+        self.apply(self.scheduler.decide(self.now, int(self.now * 1000)))
 
     def wait(self, seconds):
         for _ in range(round(seconds / 0.1)):
@@ -126,72 +126,72 @@
 
 
 @given("four boxes of 64 cores, full of lasting work but for the room kept")
-def full_but_for_kept(context):
-    context.desk = Desk(4)
-    context.desk.submit("first", SERVING)
-    assert 10 <= context.desk.placed("first") < 16, context.desk.placed("first")
-    context.before = context.desk.placed("first")
+def full_except_headroom(context):
+    context.harness = SchedulerHarness(4)
+    context.harness.submit("first", SERVING)
+    assert 10 <= context.harness.placed("first") < 16, context.harness.placed("first")
+    context.before = context.harness.placed("first")
 
 
 @given("four boxes of 64 cores and no headroom, full of lasting work")
 def full(context):
-    context.desk = Desk(4, frozenset({Mechanism.HEADROOM}))
-    context.desk.submit("first", SERVING)
-    assert context.desk.placed("first") == 16
+    context.harness = SchedulerHarness(4, frozenset({Mechanism.HEADROOM}))
+    context.harness.submit("first", SERVING)
+    assert context.harness.placed("first") == 16
 
 
 @when("a short job of 19 cores a task comes")
 def short_comes(context):
-    context.desk.submit("short", SHORT)
+    context.harness.submit("short", SHORT)
 
 
 @then("its tasks start at once")
 def short_starts(context):
-    assert context.desk.placed("short") == 1
+    assert context.harness.placed("short") == 1
 
 
 @then("lasting tasks that wait start nowhere meanwhile")
-def lasting_wait(context):
-    assert context.desk.placed("first") == context.before
+def long_running_wait(context):
+    assert context.harness.placed("first") == context.before
 
 
 @when("nothing short comes for {seconds:g} seconds")
 def nothing_comes(context, seconds):
-    context.desk.wait(seconds)
+    context.harness.wait(seconds)
 
 
 @then("lasting tasks that wait have taken all room")
-def lasting_starts(context):
-    assert context.desk.placed("first") == 16
+def long_running_start(context):
+    assert context.harness.placed("first") == 16
 
 
 @when("short work takes the kept room for half a second after a second")
-def short_takes_moments(context):
-    desk = context.desk
+def short_uses_headroom(context):
+    harness = context.harness
     step = Step(count=3, cpu=19_000, memory_mb=100, estimate_ms=500)
-    desk.wait(1.0)
-    workflow = desk.submit("moment", step)
+    harness.wait(1.0)
+    workflow = harness.submit("moment", step)
     assert all(task.placed for task in workflow.tasks.values())
-    desk.wait(0.5)
+    harness.wait(0.5)
     for task in list(workflow.tasks.values()):
-        desk.end(task, "done")
+        harness.end(task, "done")
 
 
 @then("lasting tasks that wait have started within 0.8 seconds more")
-def lasting_started(context):
-    context.desk.wait(0.8)
-    assert context.desk.placed("first") > context.before
+def long_running_started(context):
+    context.harness.wait(0.8)
+    assert context.harness.placed("first") > context.before
 
 
 @then("its tasks wait")
 def short_waits(context):
-    context.desk.wait(2.0)
-    assert context.desk.placed("short") == 0
+    context.harness.wait(2.0)
+    assert context.harness.placed("short") == 0
 
 
 @given("two boxes of 64 cores")
 def two_boxes(context):
-    context.desk = Desk(2, frozenset({Mechanism.HEADROOM}))
+    context.harness = SchedulerHarness(2, frozenset({Mechanism.HEADROOM}))
 
 
 @when("one task of image a, two of image b and one more of a come to serve")
@@ -200,41 +200,41 @@
         step = Step(
             count=count, cpu=13_000, long_running=True, image=image, target_ms=50.0
         )
-        context.desk.submit(str(job), step)
+        context.harness.submit(str(job), step)
 
 
 @then("each box serves one image")
 def one_image_each(context):
     images = [
         {task.spec.image for task in box.serving.values()}
-        for box in context.desk.scheduler.state.boxes.values()
+        for box in context.harness.scheduler.state.boxes.values()
     ]
     assert sorted(map(sorted, images)) == [["a"], ["b"]], images
 
 
 @given("a job of two steps that waited, failed once and was slowed")
 def eventful_job(context):
-    desk = context.desk = Desk(0)
+    harness = context.harness = SchedulerHarness(0)
     steps = (
         Step(count=1, cpu=1000, memory_mb=100),
         Step(count=1, cpu=1000, memory_mb=100, depends_on=(0,)),
     )
-    context.workflow = desk.submit("job", *steps)
+    context.workflow = harness.submit("job", *steps)
     first, second = context.workflow.tasks.values()
-    desk.now += 1.0
-    desk.__dict__.update(entries={"b0": Desk(1).entries["b0"]})
-    desk.scheduler.fleet.listed(desk.entries, desk.now)
-    desk.poll("b0")
-    desk.decide()
-    desk.now += 2.0
-    desk.end(first, "failed")
-    desk.decide()
-    desk.now += 3.0
-    desk.end(first, "done")
-    desk.decide()
-    second.set_pace(50, desk.now)
-    desk.now += 1.0
-    desk.end(second, "done")
+    harness.now += 1.0
+    harness.__dict__.update(entries={"b0": SchedulerHarness(1).entries["b0"]})
+    harness.scheduler.fleet.listed(harness.entries, harness.now)
+    harness.poll("b0")
+    harness.decide()
+    harness.now += 2.0
+    harness.end(first, "failed")
+    harness.decide()
+    harness.now += 3.0
+    harness.end(first, "done")
+    harness.decide()
+    second.set_pace(50, harness.now)
+    harness.now += 1.0
+    harness.end(second, "done")
 
 
 @then(
@@ -242,8 +242,14 @@
     " {run:g} s run, {slowed:g} s slowed"
 )
 def line_sums(context, room, failed, run, slowed):
-    (note,) = [note for note in context.desk.notes if note.event == "job_completed"]
-    spent = {key: value for key, value in note.inputs.items() if key.endswith("_s")}
+    (log_event,) = [
+        log_event
+        for log_event in context.harness.log_events
+        if log_event.event == "job_completed"
+    ]
+    spent = {
+        key: value for key, value in log_event.inputs.items() if key.endswith("_s")
+    }
     assert abs(spent["took_s"] - 7.0) < 0.01, spent
     expected = {"room_s": room, "failed_s": failed, "run_s": run, "slowed_s": slowed}
     for key, seconds in expected.items():
@@ -268,34 +274,34 @@
 
 
 @given(
-    "a serving image whose idle tail is {idle:g} of its target, never idler than a fifth"
+    "a serving image whose idle tail is {unloaded:g} of its target, never idler than a fifth"
 )
-def idle_tail(context, idle):
-    context.idle, context.interference = idle, Interference()
+def unloaded_tail(context, unloaded):
+    context.unloaded, context.interference = unloaded, Interference()
     draw = random.Random(1)
     for tick in range(32):
         load = 0.45 - 0.25 * math.cos(tick * 0.5 * math.pi / 3.5)
         for number in range(30):
             busy = load * (1.3 if number % 3 == 0 else 1.0)
-            level = idle / (1.0 - busy) + draw.gauss(0.0, 0.01)
+            level = unloaded / (1.0 - busy) + draw.gauss(0.0, 0.01)
             context.interference.unloaded_tails.observe("s", level)
 
 
 @then("after 16 seconds of looks it is known within {within:g}, also beside what fills")
-def idle_known(context, within):
-    learnt = context.interference.unloaded_tails.tail_share("s")
-    assert abs(learnt - context.idle) <= within, learnt
+def unloaded_tail_known(context, within):
+    estimate = context.interference.unloaded_tails.tail_share("s")
+    assert abs(estimate - context.unloaded) <= within, estimate
 
 
 @then("no more is asked of its tasks than their target bears")
-def aims_low(context):
+def keeps_target(context):
     step = Step(count=1, cpu=1000, long_running=True, image="s", target_ms=50.0)
     workflow = Workflow(Submission("1", "q", "pool", "", (step,)), 0.0)
     (task,) = workflow.tasks.values()
-    entry = Desk(1).entries["b0"]
+    entry = SchedulerHarness(1).entries["b0"]
     slowdown = tolerable_slowdown(BoxView(entry, 0.0), task, context.interference, 10.0)
     busy = (1.0 + slowdown) * MEAN_BUSY_SHARE
-    assert context.idle / (1.0 - busy) <= 1.1, (busy, context.idle)
+    assert context.unloaded / (1.0 - busy) <= 1.1, (busy, context.unloaded)
 
 
 @given("a log in which two jobs ended, one of them 2 s late after 3 s for room")
@@ -341,68 +347,68 @@
     assert done.returncode != 0 and "no job ended" in done.stderr, done
 
 
-def end_of_job(desk, number, how):
+def end_of_job(harness, number, how):
     """Submit a job of one task, and end its first run."""
     step = Step(count=1, cpu=1000, memory_mb=100)
-    workflow = desk.submit(f"job{number}", step)
+    workflow = harness.submit(f"job{number}", step)
     (task,) = workflow.tasks.values()
     if task.placed:
-        desk.end(task, how)
+        harness.end(task, how)
 
 
 @given("a box on which one run in 20 fails, by chance three of three jobs in a row")
 def usual_failures(context):
-    context.desk = Desk(1)
+    context.harness = SchedulerHarness(1)
     for number in range(200):
-        end_of_job(context.desk, number, "failed" if number % 20 == 0 else "done")
-        context.desk.wait(0.1)
+        end_of_job(context.harness, number, "failed" if number % 20 == 0 else "done")
+        context.harness.wait(0.1)
     for number in range(200, 203):
-        end_of_job(context.desk, number, "failed")
+        end_of_job(context.harness, number, "failed")
 
 
 @then("it still takes work")
 def takes_work(context):
-    (box,) = context.desk.scheduler.state.boxes.values()
-    assert box.open_for_work(context.desk.now)
+    (box,) = context.harness.scheduler.state.boxes.values()
+    assert box.open_for_work(context.harness.now)
 
 
 @when("every run there fails")
 def every_run_fails(context):
-    (box,) = context.desk.scheduler.state.boxes.values()
+    (box,) = context.harness.scheduler.state.boxes.values()
     context.more = 0
-    while box.open_for_work(context.desk.now) and context.more < 10:
-        end_of_job(context.desk, 300 + context.more, "failed")
+    while box.open_for_work(context.harness.now) and context.more < 10:
+        end_of_job(context.harness, 300 + context.more, "failed")
         context.more += 1
 
 
 @then("it is put aside after {count:d} more failures at most")
-def put_aside(context, count):
+def quarantined(context, count):
     assert context.more <= count, context.more
 
 
 @given("a decider with a box, and two tasks of a job, one of which waits again")
 def waits_again(context):
-    desk = context.desk = Desk(1)
-    workflow = desk.submit("job", Step(count=2, cpu=1000, memory_mb=10))
+    harness = context.harness = SchedulerHarness(1)
+    workflow = harness.submit("job", Step(count=2, cpu=1000, memory_mb=10))
     context.task, context.other = workflow.tasks.values()
     context.incarnation = context.task.box
     # As after its lease must have lapsed.
-    Progress(desk.scheduler.state).requeue(context.task, desk.now)
+    Progress(harness.scheduler.state).requeue(context.task, harness.now)
 
 
 @when("the end of its last run is listed after all, as done")
 def listed_done(context):
-    desk = context.desk
-    desk.ends += 1
-    desk.poll(
-        context.incarnation, [EndedRun(desk.ends, context.task.name, 1, "done", "")]
+    harness = context.harness
+    harness.ends += 1
+    harness.poll(
+        context.incarnation, [EndedRun(harness.ends, context.task.name, 1, "done", "")]
     )
 
 
 @then("the next pass starts nothing, and the job completes with the other task")
 def starts_nothing(context):
-    desk = context.desk
-    desk.wait(1.0)
+    harness = context.harness
+    harness.wait(1.0)
     assert context.task.run == 1
-    desk.end(context.other, "done")
-    assert desk.scheduler.state.workflows["job"].state == "completed"
+    harness.end(context.other, "done")
+    assert harness.scheduler.state.workflows["job"].state == "completed"
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -389,7 +389,7 @@
             if row.checkpoint:
                 task.checkpoint = row.checkpoint
             if task.state == STARTING:
-                task.runs(now)
+                task.mark_running(now)
                 task.paced_at = now
             elif task.state == STOPPING and now - task.stop_sent_at > STOP_AGAIN_S:
                 effects += self._progress.stop(task, now)
--- a/src/granitetrestle/jobcalls.py
+++ b/src/granitetrestle/jobcalls.py
@@ -14,7 +14,7 @@
     "JobAccepted",
     "JobCall",
     "JobOutcome",
-    "JobStateIs",
+    "JobState",
     "NoSuchJob",
     "SubmitJob",
     "WaitingCount",
@@ -56,7 +56,7 @@
     """The cancelling is kept."""
 
 
-class JobStateIs(t.NamedTuple):
+class JobState(t.NamedTuple):
     """The job's state."""
 
     state: WorkflowState
@@ -72,6 +72,4 @@
     """No job of that id is known."""
 
 
-JobOutcome: t.TypeAlias = (
-    JobAccepted | Cancelled | JobStateIs | WaitingCount | NoSuchJob
-)
+JobOutcome: t.TypeAlias = JobAccepted | Cancelled | JobState | WaitingCount | NoSuchJob
--- a/src/granitetrestle/jobtimes.py
+++ b/src/granitetrestle/jobtimes.py
@@ -11,7 +11,7 @@
 __all__ = ["QueueTimes", "job_times", "queue_times"]
 
 # Lines that hold a job's times.
-ENDS: t.Final = ("job_completed", "job_failed")
+END_EVENTS: t.Final = ("job_completed", "job_failed")
 
 
 class QueueTimes(t.NamedTuple):
@@ -34,7 +34,7 @@
     """Sum up the lines that were written at the ends of jobs, by queue."""
     queues: dict[str, list[t.Mapping[str, t.Any]]] = {}
     for line in lines:
-        if line.get("event") in ENDS and isinstance(line.get("queue"), str):
+        if line.get("event") in END_EVENTS and isinstance(line.get("queue"), str):
             queues.setdefault(line["queue"], []).append(line)
     return [_queue_times(queue, ends) for queue, ends in sorted(queues.items())]
 
@@ -59,18 +59,18 @@
 def job_times(workflow: Workflow) -> dict[str, float]:
     """Return phase -> seconds along the chain of tasks that ended last."""
     sums = dict.fromkeys(PHASES, 0.0)
-    task = _last(workflow.tasks.values())
+    task = _last_done(workflow.tasks.values())
     while task is not None:
         for phase, seconds in task.times.spent.items():
             sums[phase] += seconds
-        needs = task.spec.depends_on
-        task = _last(
+        dependencies = task.spec.depends_on
+        task = _last_done(
             other
-            for number in needs
+            for number in dependencies
             for other in workflow.step_tasks(task.occurrence, number)
         )
     return {f"{phase}_s": round(seconds, 3) for phase, seconds in sums.items()}
 
 
-def _last(tasks: t.Iterable[Task]) -> Task | None:
+def _last_done(tasks: t.Iterable[Task]) -> Task | None:
     return max(tasks, key=lambda task: task.done_at, default=None)
--- a/src/granitetrestle/pacing.py
+++ b/src/granitetrestle/pacing.py
@@ -175,7 +175,7 @@
         return (
             highly_sensitive,
             _is_late(task, now),
-            task.workflow.work_left,
+            task.workflow.remaining_work,
             task.name,
         )
 
--- a/src/granitetrestle/platform/front.py
+++ b/src/granitetrestle/platform/front.py
@@ -19,7 +19,7 @@
 from ..jobcalls import JobAccepted
 from ..jobcalls import JobCall
 from ..jobcalls import JobOutcome
-from ..jobcalls import JobStateIs
+from ..jobcalls import JobState
 from ..jobcalls import NoSuchJob
 from ..jobcalls import SubmitJob
 from ..jobcalls import WaitingCount
@@ -302,7 +302,7 @@
         image=raw.image,
         target_ms=raw.target_ms,
         best_effort=raw.fills,
-        may_be_away=raw.may_miss,
+        max_unavailable=raw.may_miss,
     )
 
 
@@ -319,7 +319,7 @@
     """Return the answer that tells a client ``outcome``."""
     if isinstance(outcome, NoSuchJob):
         return Answer(GONE)
-    if isinstance(outcome, JobStateIs):
+    if isinstance(outcome, JobState):
         return Answer(OK, msgspec.json.encode({"state": outcome.state}))
     if isinstance(outcome, WaitingCount):
         return Answer(OK, msgspec.json.encode({"pending": outcome.jobs}))
--- a/src/granitetrestle/progress.py
+++ b/src/granitetrestle/progress.py
@@ -54,7 +54,7 @@
             # had not confirmed to the box yet.
             task.failed_runs |= {row.run}
             if current:
-                task.times.failed(now)
+                task.times.mark_failed(now)
         if row.checkpoint:
             task.checkpoint = row.checkpoint
         if current:
--- a/src/granitetrestle/scheduler.py
+++ b/src/granitetrestle/scheduler.py
@@ -33,7 +33,7 @@
 from .jobcalls import JobAccepted
 from .jobcalls import JobCall
 from .jobcalls import JobOutcome
-from .jobcalls import JobStateIs
+from .jobcalls import JobState
 from .jobcalls import NoSuchJob
 from .jobcalls import SubmitJob
 from .jobcalls import WaitingCount
@@ -165,7 +165,7 @@
         if isinstance(call, CountWaiting):
             return WaitingCount(self._waiting_jobs(call.queue))
         workflow = self._state.workflows.get(call.job)
-        return NoSuchJob() if workflow is None else JobStateIs(workflow.state)
+        return NoSuchJob() if workflow is None else JobState(workflow.state)
 
     def _waiting_jobs(self, queue: str) -> int:
         return sum(
@@ -271,7 +271,7 @@
             return []
         if isinstance(outcome, CommandAccepted):
             if task.state == STARTING:
-                task.runs(now)
+                task.mark_running(now)
                 box = self._state.boxes.get(incarnation)
                 if box is not None and task.spec.best_effort and box.serving:
                     # What it disturbs should not wait for the next look.
--- a/src/granitetrestle/shardstate.py
+++ b/src/granitetrestle/shardstate.py
@@ -263,7 +263,7 @@
 
     def enter_steps(self, workflow: Workflow, now: float) -> None:
         """Let the tasks of all steps whose turn has come wait for a box."""
-        for (occurrence, number), undone in workflow.undone.items():
+        for (occurrence, number), undone in workflow.unfinished.items():
             if undone and workflow.step_ready(occurrence, number):
                 for task in workflow.step_tasks(occurrence, number):
                     if task.state == PENDING:
@@ -271,7 +271,7 @@
 
     def enter_after(self, workflow: Workflow, done: Task, now: float) -> None:
         """Let the tasks of the steps wait whose turn has come by the end of ``done``."""
-        if workflow.undone[(done.occurrence, done.step)]:
+        if workflow.unfinished[(done.occurrence, done.step)]:
             return
         for number, step in enumerate(workflow.submission.steps):
             if done.step in step.depends_on:
@@ -301,9 +301,9 @@
         if queue is not None:
             stretch, target = queue.objective_factor, queue.target_ms
             priority = queue.priority
-        left = workflow.chain_ms(task.step, _estimate)
+        left = workflow.critical_path_ms(task.step, _estimate)
         whole = max(
-            workflow.chain_ms(number, _estimate)
+            workflow.critical_path_ms(number, _estimate)
             for number in range(len(workflow.submission.steps))
         )
         workflow.due_at = workflow.accepted_at + (whole * stretch + target) / 1000.0
--- a/src/granitetrestle/tasktimes.py
+++ b/src/granitetrestle/tasktimes.py
@@ -21,14 +21,14 @@
 class TaskTimes:
     """Seconds that one task spent in each phase since its step's turn came."""
 
-    __slots__ = ("_phase", "_run", "_since", "_spent")
+    __slots__ = ("_current_run", "_phase", "_since", "_spent")
 
     def __init__(self) -> None:
         self._phase: Phase | None = None
         self._since = 0.0
         self._spent: dict[Phase, float] = {}
         # What the current run has spent, so that it can be counted as failed.
-        self._run: dict[Phase, float] = {}
+        self._current_run: dict[Phase, float] = {}
 
     @property
     def spent(self) -> t.Mapping[Phase, float]:
@@ -38,18 +38,20 @@
     def enter(self, phase: Phase | None, now: float) -> None:
         """Begin a phase; ``None`` when the task is done."""
         if self._phase is not None:
-            passed = now - self._since
-            self._spent[self._phase] = self._spent.get(self._phase, 0.0) + passed
+            elapsed_s = now - self._since
+            self._spent[self._phase] = self._spent.get(self._phase, 0.0) + elapsed_s
             if self._phase in ("run", "slowed"):
-                self._run[self._phase] = self._run.get(self._phase, 0.0) + passed
+                self._current_run[self._phase] = (
+                    self._current_run.get(self._phase, 0.0) + elapsed_s
+                )
         if phase == "order":
-            self._run.clear()
+            self._current_run.clear()
         self._phase, self._since = phase, now
 
-    def failed(self, now: float) -> None:
+    def mark_failed(self, now: float) -> None:
         """Count what the current run spent as failed."""
         self.enter(self._phase, now)
-        for phase, seconds in self._run.items():
+        for phase, seconds in self._current_run.items():
             self._spent[phase] -= seconds
             self._spent["failed"] = self._spent.get("failed", 0.0) + seconds
-        self._run.clear()
+        self._current_run.clear()
--- a/src/granitetrestle/timeline.py
+++ b/src/granitetrestle/timeline.py
@@ -11,10 +11,10 @@
 from .errors import InvalidInput
 from .errors import NotFound
 
-__all__ = ["Moment", "read_lines", "timeline"]
+__all__ = ["TimelineEntry", "read_lines", "timeline"]
 
 # Changed beliefs that may be the cause of what befell a job at that time.
-AROUND: t.Final = frozenset(
+CONTEXT_EVENTS: t.Final = frozenset(
     {
         "leader_lost",
         "taking_over",
@@ -46,13 +46,13 @@
     }
 )
 # Beliefs that changed shortly before a job's first line may still be its cause.
-BEFORE_S: t.Final = 3.0
+CONTEXT_BEFORE_S: t.Final = 3.0
 # The fields that stand in every line.
-COMMON: t.Final = ("event", "node", "timestamp")
-TIMESTAMP: t.Final = re.compile(r"T(\d\d):(\d\d):(\d\d(?:\.\d+)?)Z$")
+COMMON_FIELDS: t.Final = ("event", "node", "timestamp")
+TIMESTAMP_PATTERN: t.Final = re.compile(r"T(\d\d):(\d\d):(\d\d(?:\.\d+)?)Z$")
 
 
-class Moment(t.NamedTuple):
+class TimelineEntry(t.NamedTuple):
     """One line of the timeline.
 
     :param about: ``job`` if the line names the job, else ``around``.
@@ -86,54 +86,63 @@
             except msgspec.DecodeError:
                 continue
             if isinstance(fields, dict) and all(
-                isinstance(fields.get(k), str) for k in COMMON
+                isinstance(fields.get(k), str) for k in COMMON_FIELDS
             ):
                 lines.append(fields)
     return lines
 
 
-def timeline(job: str, lines: t.Iterable[t.Mapping[str, t.Any]]) -> list[Moment]:
+def timeline(job: str, lines: t.Iterable[t.Mapping[str, t.Any]]) -> list[TimelineEntry]:
     """Return what befell ``job``, in the order of the clocks of the machines.
 
     :raises NotFound: if no line names it.
     """
     ordered = sorted(lines, key=lambda line: str(line["timestamp"]))
-    own = [line for line in ordered if _names(job, line)]
-    if not own:
+    job_lines = [line for line in ordered if _mentions(job, line)]
+    if not job_lines:
         raise NotFound(f"no line names {job}", "give the logs of all machines")
     boxes = {
-        str(line[key]) for line in own for key in ("box", "from", "to") if key in line
+        str(line[key])
+        for line in job_lines
+        for key in ("box", "from", "to")
+        if key in line
     }
-    first = _seconds(str(own[0]["timestamp"])) - BEFORE_S
-    last = _seconds(str(own[-1]["timestamp"]))
-    found = []
+    first = _seconds(str(job_lines[0]["timestamp"])) - CONTEXT_BEFORE_S
+    last = _seconds(str(job_lines[-1]["timestamp"]))
+    entries = []
     for line in ordered:
-        if _names(job, line):
-            found.append(_moment(line, "job"))
-        elif first <= _seconds(str(line["timestamp"])) <= last and _around(line, boxes):
-            found.append(_moment(line, "around"))
-    return found
+        if _mentions(job, line):
+            entries.append(_entry(line, "job"))
+        elif first <= _seconds(str(line["timestamp"])) <= last and _is_context(
+            line, boxes
+        ):
+            entries.append(_entry(line, "around"))
+    return entries
 
 
-def _names(job: str, line: t.Mapping[str, t.Any]) -> bool:
+def _mentions(job: str, line: t.Mapping[str, t.Any]) -> bool:
     values = (line.get(key) for key in ("subject", "path", "task", "last"))
     return any(isinstance(value, str) and job in value for value in values)
 
 
-def _around(line: t.Mapping[str, t.Any], boxes: t.AbstractSet[str]) -> bool:
+def _is_context(line: t.Mapping[str, t.Any], boxes: t.AbstractSet[str]) -> bool:
     event = line["event"]
-    return event in AROUND or (event in BOX_EVENTS and line.get("subject") in boxes)
+    return event in CONTEXT_EVENTS or (
+        event in BOX_EVENTS and line.get("subject") in boxes
+    )
 
 
-def _moment(line: t.Mapping[str, t.Any], about: t.Literal["job", "around"]) -> Moment:
-    inputs = {key: value for key, value in line.items() if key not in COMMON}
+def _entry(
+    line: t.Mapping[str, t.Any], about: t.Literal["job", "around"]
+) -> TimelineEntry:
+    inputs = {key: value for key, value in line.items() if key not in COMMON_FIELDS}
     at, node, event = (str(line[key]) for key in ("timestamp", "node", "event"))
-    return Moment(at, node, about, event, inputs)
+    return TimelineEntry(at, node, about, event, inputs)
 
 
 def _seconds(timestamp: str) -> float:
     """Return the seconds since midnight; logs of one complaint are of one day."""
-    match = TIMESTAMP.search(timestamp)
+    match = TIMESTAMP_PATTERN.search(timestamp)
     if match is None:
         return 0.0
     hours, minutes, seconds = match.groups()
--- a/src/granitetrestle/waitingorder.py
+++ b/src/granitetrestle/waitingorder.py
@@ -85,7 +85,7 @@
         """See :meth:`WaitingOrder.record_submission`."""
         if any(step.best_effort for step in workflow.submission.steps):
             self._sizes.record_submission(
-                workflow.submission.queue, workflow.whole_work
+                workflow.submission.queue, workflow.total_work
             )
 
     def start_pass(self, now: float) -> None:
@@ -97,12 +97,12 @@
         """See :meth:`WaitingOrder.record_start`."""
         if task.spec.best_effort and self._size_shares:
             work = task.spec.cpu * task.spec.estimate_ms
-            share = work / max(1, task.workflow.whole_work)
+            share = work / max(1, task.workflow.total_work)
             self._sizes.record_start(self._size_class(task.workflow), share)
 
     def _size_class(self, workflow: Workflow) -> SizeClass:
         queue = workflow.submission.queue
-        return self._sizes.size_class(queue, workflow.whole_work)
+        return self._sizes.size_class(queue, workflow.total_work)
 
     def sort_key(self, entry: WaitingStep, now: float) -> SortKey:
         """See :meth:`WaitingOrder.sort_key`."""
@@ -110,10 +110,10 @@
         if not entry.spec.best_effort:
             return (entry.priority, lateness, True, entry.latest_start)
         workflow = entry.workflow
-        left = float(workflow.work_left)
+        left = float(workflow.remaining_work)
         if self._by_value:
             queue = workflow.submission.queue
-            left /= self._sizes.value(queue, workflow.whole_work)
+            left /= self._sizes.value(queue, workflow.total_work)
         served = not self._sizes.is_underserved(self._size_class(workflow))
         return (entry.priority, lateness, served, left)
 
--- a/src/granitetrestle/workflows.py
+++ b/src/granitetrestle/workflows.py
@@ -71,7 +71,7 @@
     image: str = ""
     target_ms: float = 0.0
     best_effort: bool = False
-    may_be_away: int = 0
+    max_unavailable: int = 0
 
 
 class Submission(msgspec.Struct, frozen=True, array_like=True):
@@ -187,7 +187,7 @@
         if self.state == RUNNING:
             self.times.enter(self._run_phase, now)
 
-    def runs(self, now: float) -> None:
+    def mark_running(self, now: float) -> None:
         """Note that its run was seen or confirmed."""
         self.state = RUNNING
         self.confirmed_at = now
@@ -216,14 +216,14 @@
         self.begun = False
         self.retired = False
         self.tasks: dict[tuple[int, int, int], Task] = {}
-        self.undone: dict[tuple[int, int], int] = {}
+        self.unfinished: dict[tuple[int, int], int] = {}
         for occurrence in range(max(1, submission.repeat_count)):
-            self._open(occurrence)
-        self.whole_work = self.work_left
+            self._add_occurrence(occurrence)
+        self.total_work = self.remaining_work
 
-    def _open(self, occurrence: int) -> None:
+    def _add_occurrence(self, occurrence: int) -> None:
         for number, step in enumerate(self.submission.steps):
-            self.undone[(occurrence, number)] = step.count
+            self.unfinished[(occurrence, number)] = step.count
             for index in range(step.count):
                 task = Task(self, occurrence, number, index)
                 self.tasks[(occurrence, number, index)] = task
@@ -249,8 +249,10 @@
 
     def step_ready(self, occurrence: int, step: int) -> bool:
         """Say whether all steps that ``step`` depends on are done."""
-        needs = self.submission.steps[step].depends_on
-        return all(self.undone[(occurrence, number)] == 0 for number in needs)
+        dependencies = self.submission.steps[step].depends_on
+        return all(
+            self.unfinished[(occurrence, number)] == 0 for number in dependencies
+        )
 
     def step_tasks(self, occurrence: int, step: int) -> list[Task]:
         """Return the tasks of one step, by index."""
@@ -263,33 +265,35 @@
             task.state = DONE
             task.done_at = now
             task.times.enter(None, now)
-            self.undone[(task.occurrence, task.step)] -= 1
+            self.unfinished[(task.occurrence, task.step)] -= 1
 
     @property
     def all_done(self) -> bool:
         """Whether every task is done."""
-        return not any(self.undone.values())
+        return not any(self.unfinished.values())
 
     @property
-    def work_left(self) -> int:
+    def remaining_work(self) -> int:
         """What is not done yet, as estimated, in millionths of a core-second."""
         steps = self.submission.steps
         return sum(
             count * steps[number].cpu * steps[number].estimate_ms
-            for (_, number), count in self.undone.items()
+            for (_, number), count in self.unfinished.items()
         )
 
-    def chain_ms(self, step: int, estimates: t.Callable[[Step], float]) -> float:
+    def critical_path_ms(
+        self, step: int, estimates: t.Callable[[Step], float]
+    ) -> float:
         """Return the longest chain of work from ``step`` to the end, in ms."""
         steps = self.submission.steps
         longest = [0.0] * len(steps)
         for number in range(len(steps) - 1, -1, -1):
-            after = [
+            successors = [
                 longest[later]
                 for later in range(number + 1, len(steps))
                 if number in steps[later].depends_on
             ]
-            longest[number] = estimates(steps[number]) + max(after, default=0.0)
+            longest[number] = estimates(steps[number]) + max(successors, default=0.0)
         return longest[step]
 
     def end(self, state: WorkflowState, now: float) -> None:
@@ -301,7 +305,7 @@
         """Forget the tasks of an ended job, of which only the state is asked any more."""
         self.retired = True
         self.tasks.clear()
-        self.undone.clear()
+        self.unfinished.clear()
 
 
 def parse_task_name(name: str) -> tuple[str, tuple[int, int, int]] | None:
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -44,8 +44,8 @@
         (
             (
                 "workflows.py",
-                "return all(self.undone[(occurrence, number)] == 0 for number in needs)",
-                "return needs is not None",
+                "return all(self.unfinished[(occurrence, number)] == 0 for number in dependencies)",
+                "return dependencies is not None",
             ),
         ),
         "native_decider",
