--- a/src/granitetrestle/interference.py
+++ b/src/granitetrestle/interference.py
@@ -16,8 +16,8 @@
 __all__ = ["Interference", "PairRow"]
 
 # Sensitivity: how much a best-effort image that uses a whole box slows the serving one.
-# Initial means and variances of the low and the high estimate of a pair, and the initial
-# probability of the high one, from which on a pair counts as highly sensitive.
+# Initial means and variances of the low and the high estimate of a pair, and the
+# initial probability of the high one, from which on a pair counts as highly sensitive.
 LOW_SENSITIVITY: t.Final = 0.4
 LOW_SENSITIVITY_VARIANCE: t.Final = 0.09
 HIGH_SENSITIVITY: t.Final = 4.6
@@ -133,7 +133,7 @@
         self.log_odds = max(-MAX_LOG_ODDS, min(MAX_LOG_ODDS, odds))
         if measured:
             probability = 1.0 / (1.0 + math.exp(-self.log_odds))
-            # The likelier estimate is updated, with the noise divided by its probability.
+            # Update the likelier estimate; the less likely it is, the more noise.
             if probability > 0.5:
                 self.high.update(
                     slowdown, share, noise / probability, (1.5, MAX_SENSITIVITY)
@@ -228,7 +228,7 @@
     def slowdown(
         self, serving: str, best_effort_shares: t.Mapping[str, float]
     ) -> float:
-        """Return the expected slowdown of ``serving``: 0 for none, 1 for twice the time.
+        """Return the expected slowdown of ``serving``: 0 for none, 1 for double time.
 
         :param best_effort_shares: best-effort image -> share of the box's processor
             time that it uses.
@@ -300,7 +300,7 @@
         self._changed.add(serving)
 
     def take_changed_rows(self) -> dict[str, bytes]:
-        """Return the encoded pairs of each serving image updated since the last call."""
+        """Return the encoded pairs of serving images updated since the last call."""
         rows = {
             serving: _encode(
                 [_row(image, p) for image, p in self._pairs[serving].items()]
--- a/src/granitetrestle/jobcalls.py
+++ b/src/granitetrestle/jobcalls.py
@@ -1,5 +1,5 @@
-"""What a client account asks about jobs of steps, and what it is told. An adapter
-makes these from its own protocol and turns the outcomes back into it."""
+"""Calls of client accounts about jobs of steps, and their outcomes. An adapter decodes
+the calls from its own protocol and encodes the outcomes in it."""
 
 import typing as t
 
@@ -22,25 +22,25 @@
 
 
 class SubmitJob(t.NamedTuple):
-    """Take a job; the same id again is the same job."""
+    """Accept a job; a repeated id stands for the same job."""
 
     submission: Submission
 
 
 class CancelJob(t.NamedTuple):
-    """Start nothing more of a job, and stop what runs."""
+    """Start no further task of a job, and stop the running ones."""
 
     job: str
 
 
 class GetState(t.NamedTuple):
-    """How far is a job?"""
+    """Return the state of a job."""
 
     job: str
 
 
 class CountWaiting(t.NamedTuple):
-    """How many jobs of a queue have not begun?"""
+    """Return the number of jobs of a queue that have not begun."""
 
     queue: str
 
@@ -49,21 +49,21 @@
 
 
 class JobAccepted(t.NamedTuple):
-    """The job is kept."""
+    """The job is stored."""
 
 
 class Cancelled(t.NamedTuple):
-    """The cancelling is kept."""
+    """The cancellation is stored."""
 
 
 class JobState(t.NamedTuple):
-    """The job's state."""
+    """The state of the job."""
 
     state: WorkflowState
 
 
 class WaitingCount(t.NamedTuple):
-    """Jobs of the queue that have not begun."""
+    """The number of jobs of the queue that have not begun."""
 
     jobs: int
 
--- a/src/granitetrestle/jobtimes.py
+++ b/src/granitetrestle/jobtimes.py
@@ -1,6 +1,8 @@
-"""Where the time of a job went. Each task sums how long it spent in each phase; the
-time of a job is that of its last task, of the last task which that one waited for,
-and so on to the start. The sums stand in the log line at the end of a job."""
+"""Breakdown of the duration of jobs by phase.
+
+Each task sums up the time it spent in each phase. The breakdown of a job adds up the
+tasks along its critical path: the last task done, the last done of those that it
+depended on, and so on to the start. The log line at the end of a job has the sums."""
 
 import typing as t
 
@@ -10,15 +12,16 @@
 
 __all__ = ["QueueTimes", "job_times", "queue_times"]
 
-# Lines that hold a job's times.
+# Events whose log lines have the breakdown.
 END_EVENTS: t.Final = ("job_completed", "job_failed")
 
 
 class QueueTimes(t.NamedTuple):
-    """Where the jobs of one queue spent their time, in seconds a job.
+    """Mean breakdown of the jobs of one queue, in seconds per job.
 
-    :param late: jobs that ended after they were due, by their estimates.
-    :param phases: phase -> mean over all jobs; of late jobs in ``late_phases``.
+    :param late: number of jobs that ended after their due time, which is estimated.
+    :param phases: phase -> mean over all jobs.
+    :param late_phases: phase -> mean over the late jobs.
     """
 
     queue: str
@@ -31,7 +34,7 @@
 
 
 def queue_times(lines: t.Iterable[t.Mapping[str, t.Any]]) -> list[QueueTimes]:
-    """Sum up the lines that were written at the ends of jobs, by queue."""
+    """Summarize the log lines written at the ends of jobs, by queue."""
     queues: dict[str, list[t.Mapping[str, t.Any]]] = {}
     for line in lines:
         if line.get("event") in END_EVENTS and isinstance(line.get("queue"), str):
@@ -57,7 +60,7 @@
 
 
 def job_times(workflow: Workflow) -> dict[str, float]:
-    """Return phase -> seconds along the chain of tasks that ended last."""
+    """Return ``PHASE_s`` -> seconds along the critical path of the job."""
     sums = dict.fromkeys(PHASES, 0.0)
     task = _last_done(workflow.tasks.values())
     while task is not None:
--- a/src/granitetrestle/overload.py
+++ b/src/granitetrestle/overload.py
@@ -1,4 +1,4 @@
-"""Pace at which a best-effort task can run on a box while serving tasks keep their target.
+"""Pace at which a best-effort task can run while serving tasks keep their target.
 
 The part that does not depend on the task is cached until the box changes, since each
 decision needs it of every box."""
--- a/src/granitetrestle/pacing.py
+++ b/src/granitetrestle/pacing.py
@@ -1,7 +1,7 @@
 """Paces best-effort tasks so that serving tasks keep their target of tail latency.
 
-Each poll updates the interference model, and the best-effort tasks that the serving ones
-on their box are sensitive to are slowed down as far as the model requires."""
+Each poll updates the interference model, and the best-effort tasks that the serving
+ones on their box are sensitive to are slowed down as far as the model requires."""
 
 import math
 import typing as t
@@ -207,8 +207,8 @@
     """How much of the tolerable slowdown of a serving image a best-effort task uses up.
 
     :param slowdown: slowdown of the serving tasks when it runs at full pace.
-    :param highly_sensitive: whether the pair is of high sensitivity, so that the pace is
-        limited for its sake.
+    :param highly_sensitive: whether the pair is of high sensitivity, so that the pace
+        is limited for its sake.
     """
 
     slowdown: float
@@ -234,9 +234,9 @@
 ) -> float:
     """Return the pace that remains for a task, and subtract its costs.
 
-    Tasks that interfere least are served first, at full pace, instead of all being slow.
-    Pairs of low sensitivity are never slowed: together they cause a slowdown of no more
-    than a sixth.
+    Tasks that interfere least come first and run at full pace, instead of all being
+    slow. Pairs of low sensitivity are never slowed: together they cause a slowdown of
+    no more than a sixth.
 
     :param remaining: tolerable slowdown left, by serving image; updated.
     """
--- a/src/granitetrestle/packing.py
+++ b/src/granitetrestle/packing.py
@@ -1,7 +1,7 @@
 """Bin packing: ranks the boxes that have room for a task.
 
-Serving tasks and the best-effort tasks that slow them down are placed on different boxes
-as far as there is room for that."""
+Serving tasks and the best-effort tasks that slow them down are placed on different
+boxes as far as there is room for that."""
 
 import abc
 import typing as t
@@ -28,8 +28,8 @@
 MIN_UNUSED_FACTOR: t.Final = 0.9
 # Weight of unused processor time, as a share of the box, relative to pace.
 UNUSED_WEIGHT: t.Final = 0.2
-# Weight of the compatible share relative to pace: the pace that a task gives up to leave
-# a box to others that have fewer boxes to choose from.
+# Weight of the compatible share relative to pace: the pace that a task gives up to
+# leave a box to others that have fewer boxes to choose from.
 COMPATIBLE_SHARE_WEIGHT: t.Final = 0.3
 # A task that would run at a lower pace waits for a better box: one that runs slowly
 # beside serving tasks is soon moved, and interferes with them until then.
@@ -82,8 +82,8 @@
 
 
 def fewest_best_effort(boxes: t.Iterable[BoxView]) -> BoxView | None:
-    """Return the box with the fewest best-effort tasks, for one that has waited too long;
-    it is paced there as far as the serving tasks require."""
+    """Return the box with the fewest best-effort tasks, for one that has waited too
+    long; it is paced there as far as the serving tasks require."""
     return min(
         boxes,
         key=lambda box: (len(box.fillers), -box.cpu_free, box.incarnation),
@@ -130,8 +130,8 @@
 
 
 class _WarmBoxFirst(Ranking):
-    """Uses a cold box only when no other has room: one that reports itself slow, as after
-    its start or after its data hall was restored."""
+    """Uses a cold box only when no other has room: one that reports itself slow, as
+    after its start or after its data hall was restored."""
 
     def __init__(self, ranking: Ranking) -> None:
         self._ranking = ranking
@@ -144,8 +144,8 @@
 class _ServingRanking(Ranking):
     """Ranks boxes for a serving task, by the best-effort images that remain compatible.
 
-    Each best-effort image interferes with only some of the serving images, so a box that
-    serves a single image is compatible with most of them. A task goes to a box that
+    Each best-effort image interferes with only some of the serving images, so a box
+    that serves a single image is compatible with most of them. A task goes to a box that
     serves its own image, else to one without serving tasks, else to the one whose
     compatible share falls least, so that serving tasks exceed their targets for less
     time."""
--- a/src/granitetrestle/tasktimes.py
+++ b/src/granitetrestle/tasktimes.py
@@ -1,4 +1,4 @@
-"""How long a task spent in each phase since its step's turn came."""
+"""Time that a task spent in each phase since its step became ready."""
 
 import typing as t
 
@@ -6,8 +6,8 @@
 
 Phase: t.TypeAlias = t.Literal["room", "order", "run", "slowed", "stop", "failed"]
 
-# Waits for a box; ordered, and not seen to run; runs at full pace; runs slower; is
-# being stopped; ran and failed.
+# Waiting for a box; start command sent, but not known to run; running at full pace;
+# running at a lower pace; being stopped; spent in runs that failed.
 PHASES: t.Final[tuple[Phase, ...]] = (
     "room",
     "order",
@@ -19,7 +19,7 @@
 
 
 class TaskTimes:
-    """Seconds that one task spent in each phase since its step's turn came."""
+    """Seconds that one task spent in each phase since its step became ready."""
 
     __slots__ = ("_current_run", "_phase", "_since", "_spent")
 
@@ -27,16 +27,16 @@
         self._phase: Phase | None = None
         self._since = 0.0
         self._spent: dict[Phase, float] = {}
-        # What the current run has spent, so that it can be counted as failed.
+        # Time of the current run, moved to ``failed`` if it fails.
         self._current_run: dict[Phase, float] = {}
 
     @property
     def spent(self) -> t.Mapping[Phase, float]:
-        """Phase -> seconds; phases that never were are missing."""
+        """Phase -> seconds, without the phases that never occurred."""
         return self._spent
 
     def enter(self, phase: Phase | None, now: float) -> None:
-        """Begin a phase; ``None`` when the task is done."""
+        """Start a phase; ``None`` once the task is done."""
         if self._phase is not None:
             elapsed_s = now - self._since
             self._spent[self._phase] = self._spent.get(self._phase, 0.0) + elapsed_s
@@ -49,7 +49,7 @@
         self._phase, self._since = phase, now
 
     def mark_failed(self, now: float) -> None:
-        """Count what the current run spent as failed."""
+        """Move the time of the current run to the phase ``failed``."""
         self.enter(self._phase, now)
         for phase, seconds in self._current_run.items():
             self._spent[phase] -= seconds
--- a/src/granitetrestle/timeline.py
+++ b/src/granitetrestle/timeline.py
@@ -1,6 +1,8 @@
-"""What many machines wrote about one job, as one timeline: the lines that carry its
-id, and beside them who decided, whether the store answered, and what became of the
-boxes that the job's lines name. For whoever looks into a complaint afterwards."""
+"""Timeline of one job, from the logs of many machines.
+
+It has the lines that carry the job's id and, as context, changes of the leader, of the
+store and of the boxes that the job's lines name. Operators use it to investigate
+complaints."""
 
 import pathlib
 import re
@@ -13,7 +15,7 @@
 
 __all__ = ["TimelineEntry", "read_lines", "timeline"]
 
-# Changed beliefs that may be the cause of what befell a job at that time.
+# Events that may be the cause of what happened to a job at that time.
 CONTEXT_EVENTS: t.Final = frozenset(
     {
         "leader_lost",
@@ -45,9 +47,9 @@
         "leases_lapsed",
     }
 )
-# Beliefs that changed shortly before a job's first line may still be its cause.
+# Events this long before a job's first line may still be its cause.
 CONTEXT_BEFORE_S: t.Final = 3.0
-# The fields that stand in every line.
+# The fields that every line has.
 COMMON_FIELDS: t.Final = ("event", "node", "timestamp")
 TIMESTAMP_PATTERN: t.Final = re.compile(r"T(\d\d):(\d\d):(\d\d(?:\.\d+)?)Z$")
 
@@ -55,7 +57,9 @@
 class TimelineEntry(t.NamedTuple):
     """One line of the timeline.
 
-    :param about: ``job`` if the line names the job, else ``around``.
+    :param at: timestamp of the line.
+    :param about: ``job`` if the line names the job, ``around`` if it is context.
+    :param inputs: the other fields of the line.
     """
 
     at: str
@@ -66,8 +70,9 @@
 
 
 def read_lines(paths: t.Iterable[str]) -> list[dict[str, t.Any]]:
-    """Return the JSON lines of log files; what comes before a line's brace, such as
-    a collector's prefix, is left out, and lines without one are passed over.
+    """Return the JSON lines of log files. Text before the first brace of a line, such
+    as the prefix of a log collector, is ignored, and so are lines that are not JSON
+    objects with the common fields.
 
     :raises InvalidInput: if a file can't be read.
     """
@@ -93,7 +98,7 @@
 
 
 def timeline(job: str, lines: t.Iterable[t.Mapping[str, t.Any]]) -> list[TimelineEntry]:
-    """Return what befell ``job``, in the order of the clocks of the machines.
+    """Return the timeline of ``job``, in the order of the machines' clocks.
 
     :raises NotFound: if no line names it.
     """
@@ -141,7 +146,8 @@
 
 
 def _seconds(timestamp: str) -> float:
-    """Return the seconds since midnight; logs of one complaint are of one day."""
+    """Return the seconds since midnight, or 0 for an unknown format; the logs of one
+    complaint are of one day."""
     match = TIMESTAMP_PATTERN.search(timestamp)
     if match is None:
         return 0.0
--- a/src/granitetrestle/workflows.py
+++ b/src/granitetrestle/workflows.py
@@ -1,6 +1,6 @@
-"""Jobs of several steps: what a client account asked for, how far each task has
-come, and how both are written so that a successor can go on from them. Nothing
-here decides; :mod:`.scheduler` does."""
+"""Jobs of several steps: the submission of a client account, the state of each task,
+and the form in which the submission is stored for a successor. Scheduling decisions are
+made in :mod:`.scheduler`."""
 
 import typing as t
 
@@ -28,7 +28,7 @@
 RUNNING: t.Final = 2
 STOPPING: t.Final = 3
 DONE: t.Final = 4
-# As shown in logs.
+# The names that logs show, by state.
 STATE_NAMES: t.Final = ("pending", "starting", "running", "stopping", "done")
 FULL_PACE: t.Final = 100
 
@@ -38,20 +38,22 @@
 
 
 class Step(msgspec.Struct, frozen=True, array_like=True):
-    """Tasks that are alike. Durations are in milliseconds.
+    """A number of equal tasks of a job. Durations are in milliseconds.
 
     :param cpu: thousandths of a core for each task.
-    :param depends_on: numbers of earlier steps that must be done first.
-    :param gang: the tasks work only together.
+    :param depends_on: numbers of the earlier steps that must be done first.
+    :param gang: whether the tasks can work only all at once.
     :param required_labels: labels that a box must carry.
     :param affinity: rack that holds the data; empty for none.
-    :param per_box: most tasks of this step on one box; 0 for no bound.
-    :param speculative: copies of a task may run at the same time.
-    :param lasting: tasks run until the job is cancelled.
-    :param image: what the tasks run; tasks of one image behave alike.
-    :param target_ms: bound for the tail latency of a task that serves; 0 for none.
-    :param fills: takes only processor time that others leave unused.
-    :param may_be_away: tasks of a lasting step that may be away at once.
+    :param per_box: maximum of tasks of this step on one box; 0 for no limit.
+    :param speculative: whether copies of a task may run at the same time.
+    :param long_running: whether the tasks run until the job is cancelled.
+    :param image: program that the tasks run; tasks of one image behave alike.
+    :param target_ms: target of the tail latency of a serving task; 0 for none.
+    :param best_effort: whether the tasks use only processor time that others leave
+        unused.
+    :param max_unavailable: maximum of tasks of a long-running step that may be
+        unavailable at once.
     """
 
     count: int
@@ -75,13 +77,14 @@
 
 
 class Submission(msgspec.Struct, frozen=True, array_like=True):
-    """A job as accepted.
+    """A job as it was accepted.
 
-    :param queue: name of the queue that took it.
-    :param service: pool of boxes that ran the queue's tasks at that time.
+    :param queue: name of the queue that accepted it.
+    :param service: pool of boxes that ran the queue's tasks when it was accepted.
     :param spec: opaque text for the tasks.
-    :param repeat_count: how many times the steps run; 0 for once, at once.
-    :param start_at_ms: wall time in milliseconds since 1970 of the first time.
+    :param repeat_count: number of occurrences of the steps; 0 for one, without delay.
+    :param start_at_ms: wall time of the first occurrence, in milliseconds since 1970.
+    :param interval_ms: time from one occurrence to the next.
     """
 
     job: str
@@ -95,14 +98,16 @@
 
 
 class Task:
-    """One task.
+    """One task of a job, with the state of its latest run.
 
-    :ivar spec: what it asks for.
+    :ivar spec: the step that it belongs to.
     :ivar run: number of its latest start, 0 before the first.
-    :ivar sent: whether the order of that start may have left; a predecessor's may.
-    :ivar running_since: since when that run is known to be at work; 0 if it isn't.
-    :ivar suspicion: points for boxes that it may have crashed; see :mod:`.crashloops`.
-    :ivar done_at: when it was done, in seconds on the steady clock.
+    :ivar sent: whether the command of that start may have been sent; for one of a
+        predecessor, it may.
+    :ivar running_since: time from which that run is known to run; 0 while it is not.
+    :ivar suspicion: points for the boxes that it may have crashed; see
+        :mod:`.crashloops`.
+    :ivar done_at: time at which it was done, in seconds on the steady clock.
     """
 
     __slots__ = (
@@ -143,8 +148,8 @@
         self.run = 0
         self.state = PENDING
         self.box = ""
-        # Shared by all tasks as long as it is empty, as it is for most: a set of its own
-        # for each would be a good part of what a task takes.
+        # The empty set is shared by all tasks without failures, which are most: a set
+        # of its own would be a good part of the memory of each.
         self.failed_runs: frozenset[int] = frozenset()
         self.sent = True
         self.running_since = 0.0
@@ -162,24 +167,24 @@
 
     @property
     def times(self) -> TaskTimes:
-        """How long it spent in each phase; made once it is asked for, since most tasks
-        of a long job have not begun yet."""
+        """Time spent in each phase; created on first use, since most tasks of a long
+        job have not begun yet."""
         if self._times is None:
             self._times = TaskTimes()
         return self._times
 
     @property
     def failures(self) -> int:
-        """How many runs have failed; an end that is listed again counts once."""
+        """Number of failed runs; an end that a box lists again counts once."""
         return len(self.failed_runs)
 
     @property
     def placed(self) -> bool:
-        """Whether it takes room on a box."""
+        """Whether it occupies room on a box."""
         return self.state in (STARTING, RUNNING, STOPPING)
 
     def set_pace(self, percent: int, now: float) -> None:
-        """Note the share of its speed that the task was given."""
+        """Record a new pace, in percent of the full speed of the task."""
         if self.pace == FULL_PACE:
             self.slow_since = now
         self.pace = percent
@@ -188,7 +193,7 @@
             self.times.enter(self._run_phase, now)
 
     def mark_running(self, now: float) -> None:
-        """Note that its run was seen or confirmed."""
+        """Record that a poll listed its run, or that its start was confirmed."""
         self.state = RUNNING
         self.confirmed_at = now
         self.running_since = self.running_since or now
@@ -202,9 +207,10 @@
 class Workflow:
     """A job, its tasks and its state.
 
-    :ivar retired: whether its tasks were forgotten, since it has ended.
-    :ivar whole_work: all that it asks for, as estimated, in millionths of a core-second.
-    :ivar due_at: until when it should be completed, in seconds on the steady clock.
+    :ivar retired: whether its tasks were dropped after its end.
+    :ivar total_work: estimated work of all tasks, in millionths of a core-second.
+    :ivar due_at: time by which it should be completed, in seconds on the steady clock.
+    :ivar unfinished: (occurrence, step) -> number of tasks that are not done.
     """
 
     def __init__(self, submission: Submission, accepted_at: float) -> None:
@@ -237,18 +243,19 @@
 
     @property
     def terminal(self) -> bool:
-        """Whether nothing of it will be started again."""
+        """Whether it has ended, so that no task of it is started any more."""
         return self.ended is not None
 
     def due_at_ms(self, occurrence: int) -> int:
-        """Return when an occurrence is due, in wall milliseconds; 0 for at once."""
+        """Return the wall time at which an occurrence is due, in milliseconds since
+        1970; 0 for without delay."""
         submission = self.submission
         if not submission.repeat_count:
             return 0
         return submission.start_at_ms + occurrence * submission.interval_ms
 
     def step_ready(self, occurrence: int, step: int) -> bool:
-        """Say whether all steps that ``step`` depends on are done."""
+        """Return whether all steps that ``step`` depends on are done."""
         dependencies = self.submission.steps[step].depends_on
         return all(
             self.unfinished[(occurrence, number)] == 0 for number in dependencies
@@ -274,7 +281,7 @@
 
     @property
     def remaining_work(self) -> int:
-        """What is not done yet, as estimated, in millionths of a core-second."""
+        """Estimated work of the tasks not done yet, in millionths of a core-second."""
         steps = self.submission.steps
         return sum(
             count * steps[number].cpu * steps[number].estimate_ms
@@ -284,7 +291,10 @@
     def critical_path_ms(
         self, step: int, estimates: t.Callable[[Step], float]
     ) -> float:
-        """Return the longest chain of work from ``step`` to the end, in ms."""
+        """Return the critical path from the start of ``step`` to the end of the job.
+
+        :param estimates: returns the duration of a step, in milliseconds.
+        """
         steps = self.submission.steps
         longest = [0.0] * len(steps)
         for number in range(len(steps) - 1, -1, -1):
@@ -297,19 +307,20 @@
         return longest[step]
 
     def end(self, state: WorkflowState, now: float) -> None:
-        """Give the job its final state."""
+        """Set the final state of the job."""
         self.ended = state
         self.ended_at = now
 
     def retire(self) -> None:
-        """Forget the tasks of an ended job, of which only the state is asked any more."""
+        """Drop the tasks of an ended job, since only its state is queried any more."""
         self.retired = True
         self.tasks.clear()
         self.unfinished.clear()
 
 
 def parse_task_name(name: str) -> tuple[str, tuple[int, int, int]] | None:
-    """Split a task's name into its job and its place there."""
+    """Split a task's name into its job and its occurrence, step and index; return
+    ``None`` if it is not a task's name."""
     job, *numbers = name.split(".")
     try:
         occurrence, step, index = map(int, numbers)
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -44,8 +44,8 @@
         (
             (
                 "workflows.py",
-                "return all(self.unfinished[(occurrence, number)] == 0 for number in dependencies)",
-                "return dependencies is not None",
+                "self.unfinished[(occurrence, number)] == 0 for number in dependencies",
+                "number is not None for number in dependencies",
             ),
         ),
         "native_decider",
