--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -344,7 +344,7 @@
     def ranking(self, task, interference, now):
         return self
 
-    def of(self, box):
+    def rank(self, box):
         return None
 
 
