--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -240,12 +240,12 @@
 
 
 @then("the client is told {code:d}")
-def client_told(context, code):
+def client_answered(context, code):
     assert context.answer.status == code, context.answer
 
 
 @given("a request whose decider dies without an answer")
-def leader_dies(context):
+def leader_lost(context):
     context.harness = ForwardingHarness()
     context.harness.leader = Target("n1", 1)
 
@@ -284,7 +284,7 @@
 @then(
     "the client is told {code:d} within {seconds:g} seconds, so that it can ask again"
 )
-def told_within(context, code, seconds):
+def answered_within(context, code, seconds):
     assert context.answer.status == code, context.answer
     assert context.took_s < seconds, context.took_s
 
@@ -445,6 +445,6 @@
 
 
 @then("the client is told {code:d} at once")
-def told_at_once(context, code):
+def answered_at_once(context, code):
     assert context.answer.status == code, context.answer
     assert context.took_s < 0.5, context.took_s
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -131,8 +131,8 @@
     step = Step(count=1, cpu=8000, image="strong", best_effort=True)
     load = box_load(context.box, context.interference, 10.5)
     assert tolerable_pace(step, context.box, load, context.interference) == 0.0
-    weak = Step(count=1, cpu=1000, image="weak", best_effort=True)
-    assert tolerable_pace(weak, context.box, load, context.interference) == 1.0
+    low_step = Step(count=1, cpu=1000, image="weak", best_effort=True)
+    assert tolerable_pace(low_step, context.box, load, context.interference) == 1.0
 
 
 @given("a serving task that is over its target beside an image held for harmless")
@@ -171,7 +171,7 @@
 
 
 @then("what fills is slowed to a stand within 2 seconds, and not before 1.5")
-def slowed(context):
+def paused(context):
     context.loads = StepLoads()
     paces = {tick * 0.5: poll(context, 10.0 + tick * 0.5, 400.0) for tick in range(5)}
     assert not any(paces[after] for after in (0.0, 0.5, 1.0, 1.5)), paces
@@ -179,7 +179,7 @@
 
 
 @then("it stays so over one figure below the target, and nothing more is sent there")
-def stays_slowed(context):
+def stays_paused(context):
     assert poll(context, 12.5, 90.0) == []
     step = Step(count=1, cpu=1000, image="unknown", best_effort=True)
     load = box_load(context.box, context.interference, 12.5)
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -141,7 +141,7 @@
 
 
 @when("a short job of 19 cores a task comes")
-def short_comes(context):
+def short_submitted(context):
     context.harness.submit("short", SHORT)
 
 
@@ -156,7 +156,7 @@
 
 
 @when("nothing short comes for {seconds:g} seconds")
-def nothing_comes(context, seconds):
+def no_short_submitted(context, seconds):
     context.harness.wait(seconds)
 
 
@@ -195,7 +195,7 @@
 
 
 @when("one task of image a, two of image b and one more of a come to serve")
-def serving_come(context):
+def serving_submitted(context):
     for job, (image, count) in enumerate((("a", 1), ("b", 2), ("a", 1))):
         step = Step(
             count=count, cpu=13_000, long_running=True, image=image, target_ms=50.0
@@ -241,7 +241,7 @@
     "its line sums to the time it took: {room:g} s for room, {failed:g} s failed,"
     " {run:g} s run, {slowed:g} s slowed"
 )
-def line_sums(context, room, failed, run, slowed):
+def line_adds_up(context, room, failed, run, slowed):
     (log_event,) = [
         log_event
         for log_event in context.harness.log_events
