--- a/features/native_parts.feature
+++ b/features/native_parts.feature
@@ -1,46 +1,46 @@
-Feature: The parts of the platform's path, each by itself
+Feature: Single parts of the process on the platform
 
-  Scenario: An append without an answer is repeated under its number
+  Scenario: An append without an answer is repeated under its sequence number
     Given a journal on a store that loses 2 answers
     When a decision is written
-    Then the store holds it once, and its effect was let go once
+    Then the store holds it once, and its effect was released once
 
-  Scenario: A slow store is not kept busy with the same append again and again
+  Scenario: A slow store is not overloaded with repeats of the same append
     Given a journal on a store that takes 0.45 seconds for an append
     When a decision is written
-    Then the store holds it once, and its effect was let go once
+    Then the store holds it once, and its effect was released once
     And that took no longer than 0.55 seconds
 
-  Scenario: No two appends have a number in common, and none is empty
+  Scenario: No two appends share a sequence number, and none is empty
     Given a journal on a store that loses 0 answers
     When the journal writes, confirms itself for a while, and then a decision is written
-    Then the store holds it once, and its effect was let go once
-    And each append had records, and a number of its own that followed the last
+    Then the store holds it once, and its effect was released once
+    And each append had records, and the sequence number after the last one
 
-  Scenario: An append that was answered as another's repeat lets nothing go
+  Scenario: An append answered as a repeat of another writer's releases nothing
     Given a journal on a store that loses 0 answers
-    When somebody else has written under the journal's next number, and a decision is written
-    Then the journal has ended, and its effect was never let go
+    When another writer has used the journal's next number, and a decision is written
+    Then the journal has ended, and its effect was never released
 
-  Scenario: Nothing is let go while the store is away, and a newer epoch ends it
+  Scenario: No effect is released while the store is away, and a newer epoch ends the journal
     Given a journal on a store that loses 0 answers
-    When the store is away, a decision is written, and a newer epoch comes
-    Then the journal has ended, and its effect was never let go
+    When the store is away, a decision is written, and a newer epoch starts
+    Then the journal has ended, and its effect was never released
 
-  Scenario: A restarted process does not believe that it still decides
+  Scenario: A restarted process does not take itself for the leader
     Given a process that the store names as the last decider
     Then it takes over by itself instead of waiting for itself
 
-  Scenario: A silent decider is replaced by the first of its successors
+  Scenario: A silent leader is replaced by the first of its successors
     Given two successors of a decider that fell silent
     Then the first is due at once and the second only after it had its chance
 
-  Scenario: A successor that is taking over is left the time
+  Scenario: A successor that is taking over is given time
     Given two successors of a decider that fell silent
     When the first of them says that it is taking over
     Then the second waits for it, but not for ever
 
-  Scenario: A process that hears nobody is known to be cut off
+  Scenario: A process without any connection counts as isolated
     Given two successors of a decider that fell silent
     When the first of them hears nobody any more
     Then it counts as isolated
@@ -48,113 +48,110 @@
   Scenario: Two candidates never share an epoch
     Then the epochs that two addresses choose differ, and are above the last
 
-  Scenario Outline: A refusal is passed on only if it is true
+  Scenario Outline: A refusal is passed on only if the request can't have taken effect
     Given a request that was sent <sent> and then refused
-    Then the client is told <status>
+    Then the client is answered <status>
 
     Examples:
       | sent                  | status |
       | once                  | 503    |
       | twice                 | 504    |
-      | to two deciders       | 504    |
+      | to two leaders        | 504    |
 
-  Scenario: A request follows the decider to its successor
-    Given a request whose decider dies without an answer
+  Scenario: A request is sent on to the leader's successor
+    Given a request whose leader is lost without an answer
     When a successor is known
-    Then the successor is asked and its answer is passed on
+    Then the request goes to the successor, and its answer to the client
 
-  Scenario: A request whose decider died is not held to its deadline
-    Given a request whose decider dies without an answer
-    When no successor comes
-    Then the client is told 504 within 1.5 seconds, so that it can ask again
+  Scenario: A request whose leader was lost is answered before its deadline
+    Given a request whose leader is lost without an answer
+    When no successor takes over
+    Then the client is answered 504 within 1.5 seconds, so that it can retry
 
-  Scenario: Without a decider a request is refused soon, with a time to come back
-    Given a request when no decider is known
-    Then it is refused within 1.2 seconds with a time to come back
+  Scenario: Without a leader a request is refused soon, with a time to retry after
+    Given a request while no leader is known
+    Then it is refused within 1.2 seconds with a time to retry after
 
-  Scenario: Strengths of pairs are found from siblings
-    Given six serving tasks of one step, three beside an image that disturbs
-    Then the disturbing image is found, and the harmless one is not blamed
-    And a successor that takes up what was written knows it too
+  Scenario: The sensitivity of pairs is estimated from tasks of the same step
+    Given six serving tasks of one step, three beside an image that slows them down
+    Then only the pair with that image is found to be of high sensitivity
+    And a successor that restores the stored rows classifies both pairs alike
 
-  Scenario: Room for what disturbs goes to one at a time
-    Given a box with serving tasks that bear little
-    Then weak ones run at full pace, and one strong one gets what is left
-    And a strong one is not sent there as if those that wait there were not
+  Scenario: Tolerable slowdown goes to one task of high sensitivity at a time
+    Given a box whose serving tasks tolerate little slowdown
+    Then pairs of low sensitivity run at full pace, one of high at what is left
+    And no further one of high sensitivity may run there: the slowed ones count
 
-  Scenario: What fills stands still beside a task that stays over its target
-    Given a serving task that is over its target beside an image held for harmless
-    Then what fills is slowed to a stand within 2 seconds, and not before 1.5
-    And it stays so over one figure below the target, and nothing more is sent there
+  Scenario: Best-effort tasks are paused beside a task that stays over its target
+    Given a serving task over its target beside an image estimated as harmless
+    Then best-effort tasks are paused within 2 seconds, and not before 1.5
+    And one measurement below the target changes nothing, and none may run there
 
-  Scenario: Decoders take any bytes and answer with a job or a clear refusal
+  Scenario: Decoders accept any bytes and return a job or a defined error
     Then any body gives a submission or invalid input, and any record a config or an error
 
   Scenario: A settings file names every problem at once
-    Then a settings file with three problems names all three, and unknown keys are fine
+    Then a settings file with three problems names all three, and unknown keys are ignored
 
   Scenario: The log is bounded and never blocks
     Given a log whose reader does not read
-    Then ten thousand events are written in no time, and the drops are counted
+    Then ten thousand events are written without blocking, and the drops are counted
 
-  Scenario: A wave of orders to one box goes out a few at a time
-    Given a box that counts the orders it is given at once
-    When thirty stops are ordered together
-    Then all thirty arrived, and never more than 4 at once
+  Scenario: Many commands to one box are sent a few at a time
+    Given a box that counts the commands it gets at once
+    When thirty stop commands are sent together
+    Then all thirty arrive, and never more than 4 at once
 
-  Scenario: A new decider is not blamed for the store that its predecessor lost
+  Scenario: A new leader is not replaced because its predecessor lost the store
     Given a process cut off with a decider that has lost the store
     When it hears from others of a newer decider
     Then it does not take over from that one at once
 
-  Scenario: A process in the smaller part of a cut asks the store before it takes over
+  Scenario: A process in the minority partition asks the store before it takes over
     Given a process that hears 3 of 9 others, and no decider
     Then it asks the store whether a decider is at work
     Given a process that hears 4 of 9 others, and no decider
     Then it takes over without asking
 
-  Scenario: A cut that has just healed is no reason to take over
+  Scenario: A partition that has just healed is no reason to take over
     Given a process that hears 3 of 9 others, and no decider
     Then it asks the store whether a decider is at work
     When all others are heard again, the decider last
     Then it still asks the store, for a while
 
-  Scenario: A decider on a small machine hands over to a much larger one
+  Scenario: A leader on a small machine hands over to a process on a much larger one
     Given a decider of half a core that hears a ready process of two cores
     Then it hands over once it has decided calmly for a while, and not before
 
-  Scenario: A request that meets a decider that has just handed over goes to the next
-    Given a session that is over
-    Then it refuses no request, but leaves it to its successor
+  Scenario: A request to a leader that has just handed over goes to its successor
+    Given a session that has ended
+    Then it leaves a request to its successor instead of refusing it
 
-  Scenario Outline: A process that ends answers what still waits, and truthfully
+  Scenario Outline: A process that ends answers the open requests correctly
     Given a request that <state> when its process ends
-    Then the client is told <status> at once
+    Then the client is answered <status> at once
 
     Examples:
       | state                        | status |
-      | was sent to no decider       | 503    |
+      | was sent to no leader        | 503    |
       | was sent and is not answered | 504    |
 
-  Scenario: A decider that stops right after the start asks somebody to go on
+  Scenario: A leader that stops right after the start names a successor
     Given a decider whose peers have not said yet that they are ready
     Then it still names one of them as its heir
 
-  Scenario: A decider that stops before it has heard anybody asks somebody it knows of
+  Scenario: A leader that stops before any message of a peer names a successor
     Given a decider that knows its peers from the store alone
     Then it names the first of them as its heir
 
-  Scenario: A forwarded request that is not answered in its time leaves the decider at work
+  Scenario: A forwarded request that exceeds its deadline does not end the leader
     Given a decider whose answers take 0.5 seconds
     When a request with 0.05 seconds left is forwarded to it, and then one with 2 seconds
     Then the second is answered, and nothing was said of the first
 
-  Scenario: A process to which others forward requests as it starts goes to work
-    After all had lost power, the one that had decided before ended as it started, since the
-    others, who took it for the decider, had sent it clients' requests already. Its last lines:
-
-      File "node.py", line 262, in _peer_loop
-        self._tasks.start_soon(self._forwarded, sender, message)
-      AttributeError: 'Node' object has no attribute '_tasks'
+  Scenario: A process to which others forward requests as it starts does start
+    Guards against the former leader ending with an AttributeError as it starts after a
+    power loss of all machines: the others still take it for the leader, and forward it
+    clients' requests before it has its task group.
     When a process starts to which others forward requests already
     Then it is at work, and leaves it to the others whom they ask next
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over single parts of the platform's path."""
+"""Steps of the scenarios about single parts of the process on the platform."""
 
 import json
 import os
@@ -46,7 +46,7 @@
 
 
 class JournalHarness:
-    """A journal whose decisions are set by the test."""
+    """A journal to which the test passes the decisions."""
 
     def __init__(self, lose):
         self.store = MemoryStore(StoreModel())
@@ -135,12 +135,12 @@
         await anyio.sleep(0.4)
 
     anyio.run(context.run.run, script)
-    # Confirmations, between the two decisions.
+    # Appends of one record between the two decisions: the confirmations.
     assert sum(size == 1 for _, size in context.run.store.appends) >= 2
     assert context.run.store.model.topics["t"].pop(0).key == "p/0"
 
 
-@then("each append had records, and a number of its own that followed the last")
+@then("each append had records, and the sequence number after the last one")
 def own_numbers(context):
     appends = context.run.store.appends
     assert all(size for _, size in appends), appends
@@ -148,10 +148,7 @@
     assert numbers == list(range(2, 2 + len(numbers))), numbers
 
 
-@when(
-    "somebody else has written under the journal's next number, and a decision is "
-    "written"
-)
+@when("another writer has used the journal's next number, and a decision is written")
 def number_used(context):
     async def script():
         context.run.store.model.append("t", [Record("p/9", b"z")], Writer(1, 2))
@@ -161,14 +158,14 @@
     anyio.run(context.run.run, script)
 
 
-@then("the store holds it once, and its effect was let go once")
+@then("the store holds it once, and its effect was released once")
 def held_once(context):
     written = context.run.store.model.topics["t"]
     assert [record for record in written if record.key != DIGEST_KEY] == [RECORD]
     assert context.run.released == ["effect"], context.run.released
 
 
-@when("the store is away, a decision is written, and a newer epoch comes")
+@when("the store is away, a decision is written, and a newer epoch starts")
 def newer_epoch(context):
     async def script():
         context.run.store.down = True
@@ -182,14 +179,14 @@
     anyio.run(context.run.run, script)
 
 
-@then("the journal has ended, and its effect was never let go")
+@then("the journal has ended, and its effect was never released")
 def ended(context):
     assert context.run.ended is not None
     assert context.run.released == []
 
 
 class ForwardingHarness:
-    """A forwarding whose deciders are played by the test."""
+    """A forwarding whose leaders are simulated by the test."""
 
     def __init__(self):
         self.sent = []
@@ -230,7 +227,7 @@
         if sent == "twice":
             await anyio.sleep(0.75)
             assert len(harness.sent) == 2
-        if sent == "to two deciders":
+        if sent == "to two leaders":
             harness.leader = Target("n2", 2)
             harness.forwarding.leader_changed()
             await anyio.sleep(0.05)
@@ -239,12 +236,12 @@
     context.answer = anyio.run(harness.serve, script)
 
 
-@then("the client is told {code:d}")
+@then("the client is answered {code:d}")
 def client_answered(context, code):
     assert context.answer.status == code, context.answer
 
 
-@given("a request whose decider dies without an answer")
+@given("a request whose leader is lost without an answer")
 def leader_lost(context):
     context.harness = ForwardingHarness()
     context.harness.leader = Target("n1", 1)
@@ -267,7 +264,7 @@
     context.answer = anyio.run(harness.serve, script)
 
 
-@when("no successor comes")
+@when("no successor takes over")
 def no_successor(context):
     harness = context.harness
 
@@ -282,20 +279,20 @@
 
 
 @then(
-    "the client is told {code:d} within {seconds:g} seconds, so that it can ask again"
+    "the client is answered {code:d} within {seconds:g} seconds, so that it can retry"
 )
 def answered_within(context, code, seconds):
     assert context.answer.status == code, context.answer
     assert context.took_s < seconds, context.took_s
 
 
-@then("the successor is asked and its answer is passed on")
+@then("the request goes to the successor, and its answer to the client")
 def successor_asked(context):
     assert [node for node, _ in context.harness.sent] == ["n1", "n2"]
     assert (context.answer.status, context.answer.body) == (200, b"yes")
 
 
-@given("a request when no decider is known")
+@given("a request while no leader is known")
 def no_leader(context):
     async def script():
         return None
@@ -305,7 +302,7 @@
     context.took_s = time.monotonic() - started_at
 
 
-@then("it is refused within {seconds:g} seconds with a time to come back")
+@then("it is refused within {seconds:g} seconds with a time to retry after")
 def refused_soon(context, seconds):
     assert context.answer.status == 503
     assert context.answer.retry_after_s > 0
@@ -366,7 +363,9 @@
     records()
 
 
-@then("a settings file with three problems names all three, and unknown keys are fine")
+@then(
+    "a settings file with three problems names all three, and unknown keys are ignored"
+)
 def settings_file(context):
     boot = context.folder / "boot.json"
     good = {
@@ -397,7 +396,7 @@
     context.log = NodeLog(context.pipe[1], node="n1")
 
 
-@then("ten thousand events are written in no time, and the drops are counted")
+@then("ten thousand events are written without blocking, and the drops are counted")
 def bounded(context):
     started_at = time.monotonic()
     for number in range(10_000):
@@ -409,7 +408,7 @@
         os.close(descriptor)
 
 
-@given("a session that is over")
+@given("a session that has ended")
 def session_over(context):
     context.session = SimpleNamespace(
         over=True,
@@ -419,7 +418,7 @@
     )
 
 
-@then("it refuses no request, but leaves it to its successor")
+@then("it leaves a request to its successor instead of refusing it")
 def leaves_request(context):
     body = b'{"steps":[{"count":1,"cpu":1,"mem_mb":1}]}'
     call = ClientCall("POST", "host", f"/q/{'a' * 16}", body)
@@ -433,7 +432,7 @@
 @given("a request that {state} when its process ends")
 def process_ends(context, state):
     harness = ForwardingHarness()
-    harness.leader = None if "no decider" in state else Target("n1", 1)
+    harness.leader = None if "no leader" in state else Target("n1", 1)
 
     async def script():
         await anyio.sleep(0.05)
@@ -444,7 +443,7 @@
     context.took_s = time.monotonic() - started_at
 
 
-@then("the client is told {code:d} at once")
+@then("the client is answered {code:d} at once")
 def answered_at_once(context, code):
     assert context.answer.status == code, context.answer
     assert context.took_s < 0.5, context.took_s
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over what fills, and over orders to a box."""
+"""Steps of the scenarios about best-effort tasks, and about commands to a box."""
 
 import anyio
 from behave import given
@@ -31,11 +31,11 @@
 from granitetrestle.workflows import Workflow
 from rights import CONFIRMED
 
-# By how much each image stretches the work of serving tasks with a whole box.
+# Slowdown of serving tasks by each best-effort image when it uses a whole box.
 SENSITIVITIES = {"bad": 5.0, "mild": 0.3}
 
 
-@given("six serving tasks of one step, three beside an image that disturbs")
+@given("six serving tasks of one step, three beside an image that slows them down")
 def six_tasks(context):
     context.interference = Interference()
     context.classified_at = None
@@ -72,7 +72,7 @@
             )
 
 
-@then("the disturbing image is found, and the harmless one is not blamed")
+@then("only the pair with that image is found to be of high sensitivity")
 def classified(context):
     assert context.classified_at is not None and context.classified_at <= 2.0, (
         context.classified_at
@@ -82,7 +82,7 @@
         assert abs(seen - sensitivity) < 1.0, (best_effort, seen)
 
 
-@then("a successor that takes up what was written knows it too")
+@then("a successor that restores the stored rows classifies both pairs alike")
 def handed_over(context):
     successor = Interference()
     for image, row in context.interference.take_changed_rows().items():
@@ -90,10 +90,10 @@
     assert successor.highly_sensitive("serving", "bad")
     assert not successor.highly_sensitive("serving", "mild")
     assert successor.best_effort_images == set(SENSITIVITIES)
-    assert not context.interference.take_changed_rows(), "nothing has changed since"
+    assert not context.interference.take_changed_rows(), "no pair has changed since"
 
 
-@given("a box with serving tasks that bear little")
+@given("a box whose serving tasks tolerate little slowdown")
 def busy_box(context):
     context.interference = Interference()
     for _ in range(20):
@@ -114,7 +114,7 @@
         context.box.place(task)
 
 
-@then("weak ones run at full pace, and one strong one gets what is left")
+@then("pairs of low sensitivity run at full pace, one of high at what is left")
 def low_sensitivity_first(context):
     changes = pace_changes(context.box, context.interference, 10.0)
     paces = {change.task.spec.image: [] for change in changes}
@@ -124,7 +124,7 @@
     assert sorted(paces["strong"])[0] == 0 < sorted(paces["strong"])[1], paces
 
 
-@then("a strong one is not sent there as if those that wait there were not")
+@then("no further one of high sensitivity may run there: the slowed ones count")
 def counts_waiting(context):
     for task, percent in pace_changes(context.box, context.interference, 10.0):
         task.set_pace(percent, 10.0)
@@ -135,7 +135,7 @@
     assert tolerable_pace(low_step, context.box, load, context.interference) == 1.0
 
 
-@given("a serving task that is over its target beside an image held for harmless")
+@given("a serving task over its target beside an image estimated as harmless")
 def over_target(context):
     steps = (
         Step(count=1, cpu=4000, long_running=True, image="serving", target_ms=100.0),
@@ -156,13 +156,14 @@
 
 
 def poll(context, now, figure):
-    """Let the decider see the box, and return the paces it then wants."""
+    """Apply a poll of the box, and return the new paces."""
     serving, best_effort = context.names
     context.box.running = {
         serving: RunningTask(serving, 1, "", 0, figure),
         best_effort: RunningTask(best_effort, 1, "", 0, 4000.0),
     }
-    # The figure of one task alone teaches nothing: there is no sibling.
+    # One task alone does not change the classification: its step has no other task
+    # to compare with.
     observe(context.box, context.loads, context.interference, now)
     changes = pace_changes(context.box, context.interference, now)
     for task, percent in changes:
@@ -170,7 +171,7 @@
     return [change.percent for change in changes]
 
 
-@then("what fills is slowed to a stand within 2 seconds, and not before 1.5")
+@then("best-effort tasks are paused within 2 seconds, and not before 1.5")
 def paused(context):
     context.loads = StepLoads()
     paces = {tick * 0.5: poll(context, 10.0 + tick * 0.5, 400.0) for tick in range(5)}
@@ -178,20 +179,20 @@
     assert paces[2.0] == [0], paces
 
 
-@then("it stays so over one figure below the target, and nothing more is sent there")
+@then("one measurement below the target changes nothing, and none may run there")
 def stays_paused(context):
     assert poll(context, 12.5, 90.0) == []
     step = Step(count=1, cpu=1000, image="unknown", best_effort=True)
     load = box_load(context.box, context.interference, 12.5)
     assert tolerable_pace(step, context.box, load, context.interference) == 0.0
-    # Well below the target, it goes on.
+    # Well below the target, the best-effort task is resumed.
     assert poll(context, 13.5, 30.0) != []
     load = box_load(context.box, context.interference, 13.5)
     assert tolerable_pace(step, context.box, load, context.interference) > 0.0
 
 
 class ConcurrencyCountingBox(BoxCalls):
-    """Notes how many orders are under way at once."""
+    """Records the maximum number of concurrent commands."""
 
     def __init__(self):
         self.in_flight, self.max_in_flight, self.stopped = 0, 0, []
@@ -210,12 +211,12 @@
         return CommandAccepted(1)
 
 
-@given("a box that counts the orders it is given at once")
+@given("a box that counts the commands it gets at once")
 def counting_box(context):
     context.calls = ConcurrencyCountingBox()
 
 
-@when("thirty stops are ordered together")
+@when("thirty stop commands are sent together")
 def thirty_stops(context):
     async def stop_together():
         scheduler = Scheduler(SchedulerParameters(), 0.0)
@@ -239,7 +240,7 @@
     anyio.run(stop_together)
 
 
-@then("all thirty arrived, and never more than {most:d} at once")
+@then("all thirty arrive, and never more than {most:d} at once")
 def few_at_once(context, most):
     assert len(set(context.calls.stopped)) == 30
     assert context.calls.max_in_flight <= most, context.calls.max_in_flight
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -1,5 +1,5 @@
-"""Steps of the scenarios over room, over where a job's time went, and over mechanisms
-that are switched off."""
+"""Steps of the scenarios about headroom, the breakdown of a job's duration by phase,
+quarantine, and mechanisms that are switched off."""
 
 import json
 import math
@@ -46,7 +46,7 @@
 
 
 class SchedulerHarness:
-    """A decider among boxes that do at once what they are told."""
+    """A scheduler with boxes that carry out each command at once."""
 
     def __init__(self, boxes, off=frozenset()):
         self.now = 10.0
@@ -125,7 +125,7 @@
         )
 
 
-@given("four boxes of 64 cores, full of lasting work but for the room kept")
+@given("four boxes of 64 cores, full of long-running tasks except for the headroom")
 def full_except_headroom(context):
     context.harness = SchedulerHarness(4)
     context.harness.submit("first", SERVING)
@@ -133,14 +133,14 @@
     context.before = context.harness.placed("first")
 
 
-@given("four boxes of 64 cores and no headroom, full of lasting work")
+@given("four boxes of 64 cores without headroom, full of long-running tasks")
 def full(context):
     context.harness = SchedulerHarness(4, frozenset({Mechanism.HEADROOM}))
     context.harness.submit("first", SERVING)
     assert context.harness.placed("first") == 16
 
 
-@when("a short job of 19 cores a task comes")
+@when("a short job of 19 cores a task is submitted")
 def short_submitted(context):
     context.harness.submit("short", SHORT)
 
@@ -150,22 +150,22 @@
     assert context.harness.placed("short") == 1
 
 
-@then("lasting tasks that wait start nowhere meanwhile")
+@then("waiting long-running tasks start nowhere meanwhile")
 def long_running_wait(context):
     assert context.harness.placed("first") == context.before
 
 
-@when("nothing short comes for {seconds:g} seconds")
+@when("no short job is submitted for {seconds:g} seconds")
 def no_short_submitted(context, seconds):
     context.harness.wait(seconds)
 
 
-@then("lasting tasks that wait have taken all room")
+@then("waiting long-running tasks have taken all room")
 def long_running_start(context):
     assert context.harness.placed("first") == 16
 
 
-@when("short work takes the kept room for half a second after a second")
+@when("short tasks use the headroom for half a second after a second")
 def short_uses_headroom(context):
     harness = context.harness
     step = Step(count=3, cpu=19_000, memory_mb=100, estimate_ms=500)
@@ -177,7 +177,7 @@
         harness.end(task, "done")
 
 
-@then("lasting tasks that wait have started within 0.8 seconds more")
+@then("waiting long-running tasks have started within 0.8 seconds more")
 def long_running_started(context):
     context.harness.wait(0.8)
     assert context.harness.placed("first") > context.before
@@ -194,7 +194,7 @@
     context.harness = SchedulerHarness(2, frozenset({Mechanism.HEADROOM}))
 
 
-@when("one task of image a, two of image b and one more of a come to serve")
+@when("one serving task of image a, two of image b and one more of a are submitted")
 def serving_submitted(context):
     for job, (image, count) in enumerate((("a", 1), ("b", 2), ("a", 1))):
         step = Step(
@@ -238,8 +238,8 @@
 
 
 @then(
-    "its line sums to the time it took: {room:g} s for room, {failed:g} s failed,"
-    " {run:g} s run, {slowed:g} s slowed"
+    "its log line adds up to the time it took: {room:g} s for room, {failed:g} s"
+    " failed, {run:g} s run, {slowed:g} s slowed"
 )
 def line_adds_up(context, room, failed, run, slowed):
     (log_event,) = [
@@ -274,7 +274,8 @@
 
 
 @given(
-    "a serving image whose idle tail is {unloaded:g} of its target, never idler than a fifth"
+    "a serving image whose unloaded tail is {unloaded:g} of its target, busy a fifth"
+    " at least"
 )
 def unloaded_tail(context, unloaded):
     context.unloaded, context.interference = unloaded, Interference()
@@ -287,13 +288,15 @@
             context.interference.unloaded_tails.observe("s", level)
 
 
-@then("after 16 seconds of looks it is known within {within:g}, also beside what fills")
+@then(
+    "after 16 seconds of polls the estimate is right within {within:g}, also if slowed"
+)
 def unloaded_tail_known(context, within):
     estimate = context.interference.unloaded_tails.tail_share("s")
     assert abs(estimate - context.unloaded) <= within, estimate
 
 
-@then("no more is asked of its tasks than their target bears")
+@then("the tolerable slowdown keeps its tasks within their target")
 def keeps_target(context):
     step = Step(count=1, cpu=1000, long_running=True, image="s", target_ms=50.0)
     workflow = Workflow(Submission("1", "q", "pool", "", (step,)), 0.0)
@@ -332,7 +335,9 @@
     )
 
 
-@then("the command line sums it up: {jobs:d} jobs, {late:d} late, {room:g} s for room")
+@then(
+    "the command line summarizes it: {jobs:d} jobs, {late:d} late, {room:g} s for room"
+)
 def summed_up(context, jobs, late, room):
     done = explain_all(context.log)
     (queue,) = json.loads(done.stdout)
@@ -381,7 +386,7 @@
         context.more += 1
 
 
-@then("it is put aside after {count:d} more failures at most")
+@then("it is quarantined after {count:d} more failures at most")
 def quarantined(context, count):
     assert context.more <= count, context.more
 
@@ -392,7 +397,7 @@
     workflow = harness.submit("job", Step(count=2, cpu=1000, memory_mb=10))
     context.task, context.other = workflow.tasks.values()
     context.incarnation = context.task.box
-    # As after its lease must have lapsed.
+    # As after the latest time at which its lease can expire.
     Progress(harness.scheduler.state).requeue(context.task, harness.now)
 
 
--- a/src/granitetrestle/packing.py
+++ b/src/granitetrestle/packing.py
@@ -145,8 +145,8 @@
     """Ranks boxes for a serving task, by the best-effort images that remain compatible.
 
     Each best-effort image interferes with only some of the serving images, so a box
-    that serves a single image is compatible with most of them. A task goes to a box that
-    serves its own image, else to one without serving tasks, else to the one whose
+    that serves a single image is compatible with most of them. A task goes to a box
+    that serves its own image, else to one without serving tasks, else to the one whose
     compatible share falls least, so that serving tasks exceed their targets for less
     time."""
 
