--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -41,7 +41,7 @@
 )
 
 
-class TwinDeciders:
+class TwinSchedulers:
     """The same work and the same boxes for a decider with the index and one without.
 
     What boxes do depends only on the orders, so both see the same as long as they
@@ -52,7 +52,7 @@
         self.random = random.Random(seed)
         self.now = 50.0
         off = SchedulerParameters(off=frozenset({Mechanism.INDEX}))
-        self.deciders = [
+        self.schedulers = [
             Scheduler(SchedulerParameters(), self.now),
             Scheduler(off, self.now),
         ]
@@ -64,7 +64,7 @@
         self.starts = 0
         for number in range(self.random.randint(3, 24)):
             self.add_box(number)
-        for scheduler in self.deciders:
+        for scheduler in self.schedulers:
             scheduler.apply_config(Config(1, QUEUES, {"pool": True}, 262144))
         self.list()
         for incarnation in list(self.entries):
@@ -94,52 +94,54 @@
         )
 
     def list(self):
-        for scheduler in self.deciders:
+        for scheduler in self.schedulers:
             scheduler.fleet.update_boxes(dict(self.entries), self.now)
 
     def both(self, call):
         """Give both the same; what they decide must be the same."""
-        first, second = (call(scheduler) for scheduler in self.deciders)
+        first, second = (call(scheduler) for scheduler in self.schedulers)
         wanted = (StartTask, StopTask, AskAdvice)
-        orders = [
+        commands = [
             [item for item in made if isinstance(item, wanted)]
             for made in (first, second)
         ]
-        assert orders[0] == orders[1], (self.now, *orders)
-        for order in orders[0]:
-            self.obey(order)
+        assert commands[0] == commands[1], (self.now, *commands)
+        for command in commands[0]:
+            self.carry_out(command)
 
-    def obey(self, order):
-        if isinstance(order, AskAdvice):
+    def carry_out(self, command):
+        if isinstance(command, AskAdvice):
             good = {
                 incarnation: f"t{incarnation}"
-                for incarnation in order.incarnations
+                for incarnation in command.incarnations
                 if self.random.random() < 0.5
             }
             advice = Advice(good, 0.9)
-            self.both(lambda scheduler: scheduler.apply_advice(order, advice, self.now))
-        elif isinstance(order, StopTask):
-            self.end(order.incarnation, order.task, order.run, "stopped")
+            self.both(
+                lambda scheduler: scheduler.apply_advice(command, advice, self.now)
+            )
+        elif isinstance(command, StopTask):
+            self.end(command.incarnation, command.task, command.run, "stopped")
             accepted = CommandAccepted(int(self.now * 1000))
             self.both(
                 lambda d: d.handle_stop_outcome(
-                    order.incarnation, order.task, order.run, accepted, self.now
+                    command.incarnation, command.task, command.run, accepted, self.now
                 )
             )
         else:
-            self.start(order)
+            self.start(command)
 
-    def start(self, order):
+    def start(self, command):
         self.starts += 1
         outcome = CommandAccepted(int(self.now * 1000))
         draw = self.random.random()
         if draw < 0.05:
             outcome = CommandRejected(self.random.choice(("room", "unhealthy")))
         else:
-            self.running[order.incarnation][order.task] = order.run
+            self.running[command.incarnation][command.task] = command.run
         self.both(
             lambda d: d.handle_start_outcome(
-                order.incarnation, order.task, order.run, outcome, self.now
+                command.incarnation, command.task, command.run, outcome, self.now
             )
         )
 
@@ -187,7 +189,7 @@
         )
 
     def figure(self, incarnation, task):
-        spec = self.deciders[0].state.find_task(task).spec
+        spec = self.schedulers[0].state.find_task(task).spec
         if spec.target_ms:
             busy = 0.3 + 0.06 * len(self.running[incarnation])
             return round(0.22 * spec.target_ms / max(0.1, 1.0 - busy))
@@ -205,7 +207,7 @@
             outcome = PollResult(
                 int(self.now * 1000), rows, tuple(self.ended[incarnation])
             )
-        for scheduler in self.deciders:
+        for scheduler in self.schedulers:
             scheduler.fleet.plan_poll(incarnation, self.now, True)
         at = self.now
         self.both(
@@ -227,7 +229,7 @@
             )
         for incarnation, tasks in self.running.items():
             for task, run in list(tasks.items()):
-                spec = self.deciders[0].state.find_task(task)
+                spec = self.schedulers[0].state.find_task(task)
                 if spec is None or draw.random() < 0.06:
                     how = "failed" if draw.random() < 0.2 else "done"
                     self.end(incarnation, task, run, how)
@@ -260,7 +262,7 @@
     @example(783)
     @drawn(strategies.integers(0, 2**32))
     def run(seed):
-        twins = TwinDeciders(seed)
+        twins = TwinSchedulers(seed)
         for _ in range(120):
             twins.tick()
         started.append(twins.starts)
@@ -269,7 +271,7 @@
     assert sum(started) > 50 * count, sum(started)
 
 
-class Counted:
+class CountedCalls:
     """Counts how often boxes are asked whether they suit."""
 
     def __init__(self):
@@ -285,20 +287,20 @@
     "deciding was measured at {few:d} and at {many:d} boxes with as much work for each"
 )
 def measured(context, few, many):
-    context.looked_at = []
+    context.checks_per_start = []
     for boxes in (few, many):
-        counted = boxsearch.is_eligible = Counted()
+        counted = boxsearch.is_eligible = CountedCalls()
         try:
             cost = measure_deciding(boxes, 4.0)
         finally:
             boxsearch.is_eligible = counted.plain
-        context.looked_at.append(counted.calls / (cost.starts_s * 4.0))
+        context.checks_per_start.append(counted.calls / (cost.starts_s * 4.0))
 
 
 @then("a start takes at most {most:g} times as many looks at boxes")
-def looks_at(context, most):
-    few, many = context.looked_at
-    assert many <= most * few, context.looked_at
+def eligibility_checks(context, most):
+    few, many = context.checks_per_start
+    assert many <= most * few, context.checks_per_start
 
 
 @given("a box of 8 GB on which work that fills waits for 1.6 seconds for quiet")
@@ -312,18 +314,18 @@
     )
     scheduler.fleet.update_boxes({"b": box}, 50.0)
     scheduler.fleet.handle_poll_outcome("b", 50.0, 50.0, PollResult(50_000, (), ()))
-    hand_in(
+    submit_step(
         scheduler, "a", "low", Step(count=1, cpu=3500, memory_mb=1000, best_effort=True)
     )
     assert starts_of(scheduler.decide(50.1, 50_100)) == [f"{'a' * 16}.0.0.0"]
-    hand_in(
+    submit_step(
         scheduler, "b", "low", Step(count=1, cpu=3500, memory_mb=5000, best_effort=True)
     )
     for turn in range(3):
         assert not starts_of(scheduler.decide(50.2 + turn / 2, 50_200))
 
 
-def hand_in(scheduler, letter, queue, step):
+def submit_step(scheduler, letter, queue, step):
     submission = Submission(letter * 16, queue, "pool", "s", (step,))
     scheduler.handle_call(letter, SubmitJob(submission), 50.1)
 
@@ -335,7 +337,7 @@
 @when("a gang is handed in that goes first and takes 4 GB")
 def gang_first(context):
     gang = Step(count=2, cpu=1000, memory_mb=2000, gang=True)
-    hand_in(context.scheduler, "c", "q", gang)
+    submit_step(context.scheduler, "c", "q", gang)
     context.started = starts_of(context.scheduler.decide(51.8, 51_800))
 
 
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -48,17 +48,17 @@
     )
 
 
-def new_decider(now):
+def new_scheduler(now):
     scheduler = Scheduler(PARAMETERS, now)
     scheduler.apply_config(CONFIG)
     return scheduler
 
 
-def listed(scheduler, incarnation, now):
+def list_box(scheduler, incarnation, now):
     return scheduler.fleet.update_boxes({incarnation: entry(incarnation)}, now)
 
 
-def decided(scheduler, now):
+def decide(scheduler, now):
     return scheduler.decide(now, int(now * 1000))
 
 
@@ -66,12 +66,12 @@
     "a decider that placed a task on the life {incarnation} of box b, alone in its list"
 )
 def placed(context, incarnation):
-    scheduler = new_decider(0.0)
-    listed(scheduler, incarnation, 0.0)
+    scheduler = new_scheduler(0.0)
+    list_box(scheduler, incarnation, 0.0)
     scheduler.fleet.handle_poll_outcome(incarnation, 0.1, 0.1, NOTHING)
     job = Submission(JOB, "q", "pool", "s", (STEP,))
     scheduler.handle_call("r", SubmitJob(job), 0.2)
-    (start,) = [d for d in decided(scheduler, 0.2) if isinstance(d, StartTask)]
+    (start,) = [d for d in decide(scheduler, 0.2) if isinstance(d, StartTask)]
     scheduler.handle_start_outcome(
         incarnation, start.task, start.run, CommandAccepted(200), 0.3
     )
@@ -80,16 +80,16 @@
 
 
 def takes_over(context, incarnation):
-    context.scheduler = scheduler = new_decider(1.0)
+    context.scheduler = scheduler = new_scheduler(1.0)
     scheduler.restore(context.left, 1.0)
-    context.effects = listed(scheduler, incarnation, 1.0)
+    context.effects = list_box(scheduler, incarnation, 1.0)
 
 
-def looked(context, incarnation, outcome, now):
+def poll_box(context, incarnation, outcome, now):
     context.effects = context.scheduler.fleet.handle_poll_outcome(
         incarnation, now, now, outcome
     )
-    context.effects += decided(context.scheduler, now)
+    context.effects += decide(context.scheduler, now)
 
 
 RUNS_IT = PollResult(100, (RunningTask(TASK, 1, "", 10, 0.0),), ())
@@ -98,25 +98,25 @@
 @when("box b starts again as b@2, another decides, and b@2 answers its first look")
 def starts_again(context):
     takes_over(context, "b@2")
-    looked(context, "b@2", NOTHING, 1.1)
+    poll_box(context, "b@2", NOTHING, 1.1)
 
 
 @when("another decides, whose list shows b@1 still, and another life answers there")
 def older_list(context):
     takes_over(context, "b@1")
-    looked(context, "b@1", BoxReplaced(), 1.1)
+    poll_box(context, "b@1", BoxReplaced(), 1.1)
 
 
 @when("b@2 is listed, answers, and runs it")
 def then_listed(context):
-    listed(context.scheduler, "b@2", 1.2)
-    looked(context, "b@2", RUNS_IT, 1.3)
+    list_box(context.scheduler, "b@2", 1.2)
+    poll_box(context, "b@2", RUNS_IT, 1.3)
 
 
 @when("another decides, whose list shows b@2, and that one {shows} at its first look")
 def shows(context, shows):
     takes_over(context, "b@2")
-    looked(context, "b@2", RUNS_IT if shows == "runs it" else NOTHING, 1.1)
+    poll_box(context, "b@2", RUNS_IT if shows == "runs it" else NOTHING, 1.1)
 
 
 def starts(context):
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -395,7 +395,7 @@
     assert [len(runs) for runs in hows.values()] == [1], hows
 
 
-def go_dark(context, task):
+def lose_box(context, task):
     world = context.world
     world.cut[task.box] = world.now + 1000.0
     context.dark, context.since = task.box, world.now
@@ -408,7 +408,7 @@
     task = lasting_task(context)
     context.world.take_over()
     context.world.advance(0.2)
-    go_dark(context, task)
+    lose_box(context, task)
 
 
 @then("it runs on another box within {seconds:g} seconds, as if nobody had taken over")
--- a/features/steps/unwell_steps.py
+++ b/features/steps/unwell_steps.py
@@ -51,7 +51,7 @@
     assert any(isinstance(d, StopTask) for d in stops), stops
 
 
-def looked(context, now):
+def poll_box(context, now):
     """Look at the box, which shows nothing; returns what is decided then."""
     scheduler = context.scheduler
     effects = scheduler.fleet.handle_poll_outcome(
@@ -64,7 +64,7 @@
 def refuses(context):
     start, refused = context.start, CommandRejected("unhealthy")
     context.scheduler.handle_stop_outcome("b1", start.task, start.run, refused, 0.7)
-    context.decisions = [*looked(context, 0.8), *looked(context, 1.5)]
+    context.decisions = [*poll_box(context, 0.8), *poll_box(context, 1.5)]
 
 
 @then("the task is not started again, and the stop is given again")
@@ -78,5 +78,5 @@
 def then_started(context):
     start, taken = context.start, CommandAccepted(1600)
     context.scheduler.handle_stop_outcome("b1", start.task, start.run, taken, 1.6)
-    starts = [d for d in looked(context, 1.8) if isinstance(d, StartTask)]
+    starts = [d for d in poll_box(context, 1.8) if isinstance(d, StartTask)]
     assert [d.run for d in starts] == [start.run + 1], starts
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -336,10 +336,10 @@
         for row in poll.ended:
             if row.number > box.applied_end:
                 effects += self._progress.handle_run_end(box.incarnation, row, now)
-        known = max((row.number for row in poll.ended), default=0)
-        if known > box.applied_end:
-            box.applied_end = known
-            effects.append(AcknowledgeEnds(box.incarnation, known))
+        newest_end = max((row.number for row in poll.ended), default=0)
+        if newest_end > box.applied_end:
+            box.applied_end = newest_end
+            effects.append(AcknowledgeEnds(box.incarnation, newest_end))
         box.running = {row.task: row for row in poll.running}
         placed = len(box.tasks)
         effects += self._match_running(box, sent, now)
