--- a/src/granitetrestle/shardstate.py
+++ b/src/granitetrestle/shardstate.py
@@ -81,9 +81,10 @@
     """
 
     __slots__ = (
-        "able",
         "advice_until",
         "asked_at",
+        "eligible",
+        "found_waiting_at",
         "head_start_tried_at",
         "last_visited_at",
         "latest_start",
@@ -92,7 +93,6 @@
         "priority",
         "room_seen_at",
         "room_since",
-        "since",
         "spec",
         "step",
         "suspects",
