--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -51,7 +51,7 @@
 PACED_POLL_WAIT_MS: t.Final = 500
 # A stop that was answered shows in the list of ends within the box's own limit; a
 # run that is in neither list so long after was never there.
-STOP_RETRY_INTERVAL_S: t.Final = 0.6
+STOP_RETRY_S: t.Final = 0.6
 UNHEALTHY_S: t.Final = 1.0
 
 
@@ -114,7 +114,7 @@
             for incarnation, entry in entries.items()
             if entry.box_id
         }
-        order = {
+        positions = {
             incarnation: number for number, incarnation in enumerate(self._state.boxes)
         }
         for incarnation, box in list(self._state.boxes.items()):
@@ -126,20 +126,18 @@
             # it: what that one runs would be taken for lost, and run a second time.
             if successor is None or successor in self._ended:
                 continue
-            if order.get(successor, len(order)) > order[incarnation]:
+            if positions.get(successor, len(positions)) > positions[incarnation]:
                 effects += self.mark_ended(incarnation, f"replaced by {successor}", now)
         self._ended &= entries.keys()
         for incarnation, entry in entries.items():
             # One that has ended would be entered, looked at and ended anew with each list
             # while its entry stays.
             if incarnation not in self._ended:
-                effects += self._update_box(incarnation, entry, now)
+                effects += self._update(incarnation, entry, now)
             yield
         return effects
 
-    def _update_box(
-        self, incarnation: str, entry: BoxEntry, now: float
-    ) -> list[Decision]:
+    def _update(self, incarnation: str, entry: BoxEntry, now: float) -> list[Decision]:
         box = self._state.boxes.get(incarnation)
         if box is None:
             ends = self.inherited_lease_end(incarnation)
@@ -275,7 +273,7 @@
         """Return the end of a lease renewed now, on the box's clock in ms."""
         if not box.clock_at:
             return None
-        if box.incarnation in self._state.withdrawn_leases or _silent_too_long(
+        if box.incarnation in self._state.withdrawn_leases or _too_long_silent(
             box, now
         ):
             return None
@@ -397,10 +395,7 @@
             if task.state == STARTING:
                 task.mark_running(now)
                 task.paced_at = now
-            elif (
-                task.state == STOPPING
-                and now - task.stop_sent_at > STOP_RETRY_INTERVAL_S
-            ):
+            elif task.state == STOPPING and now - task.stop_sent_at > STOP_RETRY_S:
                 effects += self._progress.stop(task, now)
         return effects
 
@@ -450,7 +445,7 @@
         return self._progress.stop(task, now)
 
     def _retry_stop(self, task: Task, now: float) -> list[Decision]:
-        again = task.stop_sent_at and now - task.stop_sent_at > STOP_RETRY_INTERVAL_S
+        again = task.stop_sent_at and now - task.stop_sent_at > STOP_RETRY_S
         if task.state == STOPPING and again:
             return self._progress.stop(task, now)
         return []
@@ -461,7 +456,7 @@
         for box in list(self._state.boxes.values()):
             if box.silent_since is None and box.adopted:
                 continue
-            if box.tasks and box.adopted and _silent_too_long(box, now):
+            if box.tasks and box.adopted and _too_long_silent(box, now):
                 self._state.withdrawn_leases.withdraw(box.incarnation)
             if now > box.lease_ends:
                 if not box.listed:
@@ -499,5 +494,5 @@
         return effects
 
 
-def _silent_too_long(box: BoxView, now: float) -> bool:
+def _too_long_silent(box: BoxView, now: float) -> bool:
     return box.silent_since is not None and now - box.silent_since > SILENCE_LIMIT_S
--- a/src/granitetrestle/scheduler.py
+++ b/src/granitetrestle/scheduler.py
@@ -242,15 +242,15 @@
         """Apply what came of asking which boxes may run a step."""
         return self._dispatcher.apply_advice(asked, advice, now)
 
-    def confirm_start(self, order: StartTask, now: float) -> bool:
+    def confirm_start(self, command: StartTask, now: float) -> bool:
         """Say whether a start that was held back should still be sent, which it then is:
         meanwhile the task may have been stopped, or have gone to another box, or the box
         leaves or its room shrank, or its data hall was evacuated, or nobody knows whether
         it was."""
-        task = self._state.find_task(order.task)
-        if task is None or task.run != order.run or task.box != order.incarnation:
+        task = self._state.find_task(command.task)
+        if task is None or task.run != command.run or task.box != command.incarnation:
             return False
-        box = self._state.boxes.get(order.incarnation)
+        box = self._state.boxes.get(command.incarnation)
         if box is not None and (box.entry.draining or box.evacuated or box.over_room):
             return False
         wanted = task.state == STARTING and self._evacuation.up_to_date(now)
@@ -336,8 +336,8 @@
             task.confirmed_at = now
         return []
 
-    def mark_pace_unknown(self, order: PaceTask) -> None:
+    def mark_pace_unknown(self, command: PaceTask) -> None:
         """Let the next look order a pace again that may not have arrived."""
-        task = self._state.find_task(order.task)
-        if task is not None and task.run == order.run:
+        task = self._state.find_task(command.task)
+        if task is not None and task.run == command.run:
             task.pace = UNKNOWN_PACE_PERCENT
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -11,7 +11,7 @@
             ("scheduler.py", "wanted = task.state == STARTING and", "wanted ="),
             (
                 "scheduler.py",
-                "if task is None or task.run != order.run or task.box != order.incarnation:",
+                "if task is None or task.run != command.run or task.box != command.incarnation:",
                 "if False:",
             ),
         ),
