--- a/src/granitetrestle/decisions.py
+++ b/src/granitetrestle/decisions.py
@@ -1,5 +1,5 @@
-"""Effects of the decider. Those marked gated are carried out only when everything
-that was decided up to them is durable; the others at once."""
+"""Decisions of the scheduler, which the leader carries out. Gated ones are carried out
+only once everything that was decided up to them is durable, the others at once."""
 
 import typing as t
 
@@ -23,14 +23,14 @@
 
 
 class AnswerCall(t.NamedTuple):
-    """Tell a caller the outcome. Gated."""
+    """Return the outcome of a call to its caller. Gated."""
 
     request: str
     outcome: JobOutcome
 
 
 class StartTask(t.NamedTuple):
-    """Order a run. Gated: a successor must know of every run that may exist."""
+    """Start a run. Gated: a successor must know of every run that may exist."""
 
     incarnation: str
     task: str
@@ -42,7 +42,7 @@
 
 
 class StopTask(t.NamedTuple):
-    """Order the end of a run, or that it never begins. Gated."""
+    """Stop a run, or prevent its start. Gated."""
 
     incarnation: str
     task: str
@@ -50,16 +50,17 @@
 
 
 class AcknowledgeEnds(t.NamedTuple):
-    """A box may forget ends up to ``number``. Gated."""
+    """Acknowledge the ends that a box lists up to ``number``, which it may then drop.
+    Gated: a successor could not learn of an end that the box has dropped."""
 
     incarnation: str
     number: int
 
 
 class ResumeLeases(t.NamedTuple):
-    """Leases of a box may be renewed again. Gated: see :mod:`.leaserights`.
+    """Renew the leases of a box again. Gated: see :mod:`.withdrawnleases`.
 
-    :param change: number of this change.
+    :param change: sequence number of this change.
     """
 
     incarnation: str
@@ -67,7 +68,10 @@
 
 
 class PaceTask(t.NamedTuple):
-    """Let a run work at a share of its speed."""
+    """Set the pace of a run.
+
+    :param percent: share of its full speed that the run may use.
+    """
 
     incarnation: str
     task: str
@@ -76,7 +80,7 @@
 
 
 class AskAdvice(t.NamedTuple):
-    """Ask which boxes may run a step of a job."""
+    """Ask the advisor which boxes may run a step of a job."""
 
     job: str
     occurrence: int
@@ -85,35 +89,38 @@
 
 
 class StartPolling(t.NamedTuple):
-    """Begin to look at a box."""
+    """Start to poll a box."""
 
     incarnation: str
     address: str
 
 
 class StopPolling(t.NamedTuple):
-    """Look at a box no more."""
+    """Stop polling a box."""
 
     incarnation: str
 
 
 class WithdrawStarts(t.NamedTuple):
-    """Starts on these boxes that have not been sent are not wanted any more."""
+    """Withdraw all starts on these boxes that have not been sent."""
 
     incarnations: frozenset[str]
 
 
 class StepDown(t.NamedTuple):
-    """A newer epoch was met: this process decides no more."""
+    """Give up leadership: a command was rejected because a newer epoch exists.
+
+    :param where: incarnation of the box that rejected it.
+    """
 
     where: str
 
 
 class LogEvent(t.NamedTuple):
-    """A decision or a changed belief, for the log.
+    """A decision or a change of the scheduler's state, for the log.
 
     :param subject: the job, task or box concerned.
-    :param inputs: what decided it, with its age or version.
+    :param inputs: what it was based on, with its age or version.
     """
 
     event: str
--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -1,5 +1,5 @@
-"""The boxes of a shard: who is listed, what a look shows, how far leases reach, and
-when a run that cannot be seen must have ended."""
+"""Tracks the boxes of a shard: applies box lists and polls, renews leases, and
+determines when a run on a box that does not answer must have ended."""
 
 import typing as t
 
@@ -42,23 +42,25 @@
 
 __all__ = ["Fleet", "PollPlan"]
 
-# A box that has not answered for so long gets no more lease, so that what it runs
-# has a known end. Two looks and their time-outs fit in. Without it a box that is silent
-# for longer than a lease loses what it does meanwhile, and it is done twice.
+# Leases of a box that is silent for longer are not renewed, so that the end of its runs
+# is known. Two polls and their timeouts fit in. Without this limit, the work of a box
+# that is silent for longer than a lease is lost, and done twice.
 SILENCE_LIMIT_S: t.Final = 1.2
-# A look waits so long for an end; shorter where the pace may have to change.
+# How long a poll waits for a run to end; shorter where paces may have to change.
 POLL_WAIT_MS: t.Final = 1500
 PACED_POLL_WAIT_MS: t.Final = 500
-# A stop that was answered shows in the list of ends within the box's own limit; a
-# run that is in neither list so long after was never there.
+# When a stop is repeated. By then a box lists the end of a run whose stop it accepted;
+# a run that it lists neither as running nor as ended was never there.
 STOP_RETRY_S: t.Final = 0.6
 UNHEALTHY_S: t.Final = 1.0
 
 
 class PollPlan(t.NamedTuple):
-    """What the next look at a box carries.
+    """Content of the next poll of a box.
 
-    :param lease_ends_ms: new end of the lease on the box's clock; ``None`` for none.
+    :param acknowledged_end: number up to which the box may drop its ends.
+    :param lease_ends_ms: new end of the lease on the box's clock; ``None``: not renewed.
+    :param wait_ms: how long the box may wait for a run to end before it answers.
     """
 
     address: str
@@ -68,29 +70,29 @@
 
 
 class Fleet:
-    """Follows the boxes and keeps leases, tasks and room in line with them."""
+    """Keeps the state of boxes, leases and placed tasks consistent with polls."""
 
     def __init__(self, state: ShardState, progress: Progress, now: float) -> None:
         self._state = state
         self._progress = progress
         parameters = state.parameters
-        # Until we have looked at a box, a predecessor may have renewed its leases.
+        # Until a box is polled, a predecessor may have renewed its leases.
         self._inherited_end = now + parameters.orphan_s + parameters.lease_bound_s
-        # Unless the predecessor had ceased to, and written that down.
+        # A predecessor may have stopped renewing them, and recorded that.
         self._withdrawn_end = now + parameters.lease_bound_s
-        # Lives that are listed still and have ended for certain.
+        # Incarnations that have ended for certain but are still listed.
         self._ended: set[str] = set()
         self._losses = BoxLosses()
 
     @property
     def inherited_leases_end(self) -> float:
-        """When no lease that a predecessor gave can run any more."""
+        """When the last lease that a predecessor may have granted has expired."""
         return self._inherited_end
 
     def inherited_lease_end(self, incarnation: str) -> float:
-        """Return when no lease that a predecessor gave a box can run any more. Where it
-        had ceased to renew them and written that down, tasks of lost boxes wait for one
-        lease, not for what it may have gone on for as well."""
+        """Return when the last lease of a box that a predecessor may have granted has
+        expired. If the predecessor recorded that it renews none, this is one lease after
+        the take-over; otherwise it may have gone on renewing for a while."""
         if incarnation in self._state.withdrawn_leases:
             return self._withdrawn_end
         return self._inherited_end
@@ -98,13 +100,13 @@
     def update_boxes(
         self, entries: t.Mapping[str, BoxEntry], now: float
     ) -> list[Decision]:
-        """Take up the newest list of boxes, as a whole."""
+        """Apply the newest complete list of boxes."""
         return run_to_completion(self.update_boxes_in_slices(entries, now))
 
     def update_boxes_in_slices(
         self, entries: t.Mapping[str, BoxEntry], now: float
     ) -> SlicedWork[list[Decision]]:
-        """Take up the newest list of boxes, as a whole, a box at a step."""
+        """Apply the newest complete list of boxes, one box at each step."""
         effects: list[Decision] = []
         by_address = {
             entry.address: incarnation for incarnation, entry in entries.items()
@@ -122,16 +124,16 @@
             if box.listed:
                 continue
             successor = by_id.get(box.entry.box_id) or by_address.get(box.entry.address)
-            # An entry that outlives its box is no successor of the life that came after
-            # it: what that one runs would be taken for lost, and run a second time.
+            # A stale entry of an ended incarnation does not replace a later one: the
+            # tasks of the later one would be considered lost, and run a second time.
             if successor is None or successor in self._ended:
                 continue
             if positions.get(successor, len(positions)) > positions[incarnation]:
                 effects += self.mark_ended(incarnation, f"replaced by {successor}", now)
         self._ended &= entries.keys()
         for incarnation, entry in entries.items():
-            # One that has ended would be entered, looked at and ended anew with each list
-            # while its entry stays.
+            # Otherwise an ended incarnation whose entry remains would be added, polled
+            # and removed again with each list.
             if incarnation not in self._ended:
                 effects += self._update(incarnation, entry, now)
             yield
@@ -158,8 +160,8 @@
         return []
 
     def _place_inherited(self, box: BoxView) -> None:
-        """Place what a predecessor had placed there. One that named boxes by their ids
-        alone may have meant a life before; the first look tells, as of any task."""
+        """Place the tasks that a predecessor had placed there. One that recorded box
+        ids alone may have meant an earlier incarnation; the first poll shows."""
         for name in {box.incarnation, box.entry.box_id}:
             for task in self._state.inherited.pop(name, ()):
                 if task.placed and task.box == name:
@@ -169,8 +171,8 @@
                         self._state.mark_task_changed(task)
 
     def _reclaim_earlier(self, box: BoxView, now: float) -> list[Decision]:
-        """Take back tasks that a predecessor had placed on other lives of a box which
-        now answers: they ended before it could."""
+        """Requeue tasks that a predecessor had placed on other incarnations of a box which
+        now answers: those ended before it started."""
         effects: list[Decision] = []
         for incarnation in self._state.inherited_incarnations.get(box.entry.box_id, ()):
             if incarnation != box.incarnation and incarnation in self._state.inherited:
@@ -178,7 +180,7 @@
         return effects
 
     def _drain(self, box: BoxView, now: float) -> list[Decision]:
-        """Move off a leaving box what cannot end there in time."""
+        """Stop the tasks on a draining box that cannot end there in time."""
         effects: list[Decision] = []
         for task in list(box.tasks.values()):
             if task.state != RUNNING:
@@ -195,12 +197,12 @@
         return left_s > leaving
 
     def mark_ended(self, incarnation: str, reason: str, now: float) -> list[Decision]:
-        """A life has ended for certain: whatever ran there runs no more."""
+        """Record that an incarnation has ended for certain, and requeue its tasks."""
         self._ended.add(incarnation)
         return self._remove_box(incarnation, reason, now)
 
     def _remove_box(self, incarnation: str, reason: str, now: float) -> list[Decision]:
-        """Nothing runs on a box any more."""
+        """Remove a box on which nothing runs any more, and requeue its tasks."""
         box = self._state.boxes.pop(incarnation, None)
         if box is None:
             return []
@@ -210,11 +212,11 @@
         return [StopPolling(incarnation), event, *self._lose_tasks(box, now)]
 
     def _lose_tasks(self, box: BoxView, now: float) -> list[Decision]:
-        """Take all tasks off a box that was lost, and give up those that crash boxes."""
+        """Requeue the tasks of a lost box, and give up those that crash boxes."""
         blamed = NO_BLAME
         if not box.entry.draining and not box.answered_unlisted:
-            # A box that crashes lists no ends: without this count a task that crashes
-            # every box that starts it would be started for ever.
+            # A crashed box lists no ends. Without this count a task that crashes every
+            # box it starts on would be started again without end.
             blamed = self._blame(box, now)
         effects: list[Decision] = []
         for task in list(box.tasks.values()):
@@ -225,7 +227,7 @@
         return effects
 
     def _blame(self, box: BoxView, now: float) -> BlamedTasks:
-        """Count a box that was lost against what may have crashed it."""
+        """Count the loss of a box against the tasks that may have crashed it."""
         able, lost_at = may_have_crashed(box), box.lost_at or box.clock_at
         if not any(has_just_started(task, lost_at) for task in able):
             self._losses.record_unexplained(now)
@@ -233,12 +235,12 @@
         return blame(able, lost_at, maybe_unrelated)
 
     def resume_leases(self, again: ResumeLeases) -> None:
-        """Renew leases of a box from now on: a successor would know."""
+        """Renew leases of a box again, since a successor would know of it."""
         self._state.withdrawn_leases.confirm_resumed(again)
 
     def discard_lease_records(self) -> list[Decision]:
-        """Let what was written of boxes go that are gone for certain, with all that ran
-        there; else such a record would stay for every box that was ever lost."""
+        """Delete the withdrawal records of boxes that have ended along with their tasks;
+        otherwise one record would remain for every box that was ever lost."""
         leases = self._state.withdrawn_leases
         effects: list[Decision] = []
         for incarnation in list(leases.incarnations):
@@ -252,9 +254,9 @@
     def plan_poll(
         self, incarnation: str, now: float, may_renew: bool
     ) -> PollPlan | None:
-        """Return the next look at a box, or ``None`` if it is not ours any more.
+        """Return the content of the next poll, or ``None`` if the box was removed.
 
-        :param may_renew: whether this process was confirmed as decider of late.
+        :param may_renew: whether this process was recently confirmed as the leader.
         """
         box = self._state.boxes.get(incarnation)
         if box is None:
@@ -270,7 +272,7 @@
         return PollPlan(box.entry.address, box.durable_end, until, wait)
 
     def renewed_lease_end_ms(self, box: BoxView, now: float) -> int | None:
-        """Return the end of a lease renewed now, on the box's clock in ms."""
+        """Return the end of a lease renewed now, on the box's clock in ms, if it may be."""
         if not box.clock_at:
             return None
         if box.incarnation in self._state.withdrawn_leases or _too_long_silent(
@@ -285,18 +287,18 @@
     def handle_poll_outcome(
         self, incarnation: str, sent: float, now: float, outcome: PollOutcome
     ) -> list[Decision]:
-        """Apply the outcome of a look that was sent at ``sent``."""
+        """Apply the outcome of a poll that was sent at ``sent``."""
         box = self._state.boxes.get(incarnation)
         if box is None:
             return []
         if isinstance(outcome, BoxReplaced):
-            return self.mark_ended(incarnation, "another life answered", now)
+            return self.mark_ended(incarnation, "another incarnation answered", now)
         if isinstance(outcome, PollResult):
             return self._apply_poll(box, outcome, sent, now)
         if isinstance(outcome, CommandRejected):
             return self._handle_rejected_poll(box, outcome, now)
         if box.silent_since is None:
-            # Without an answer in time it may have been lost since the last one.
+            # After a timeout it may have been lost at any time since its last answer.
             box.lost_at = box.clock_at if outcome.timed_out else now
         return self._mark_silent(box, outcome.reason, now)
 
@@ -342,14 +344,14 @@
         placed = len(box.tasks)
         effects += self._match_running(box, sent, now)
         if poll.more_ends:
-            # What is in neither list may have ended: a successor would take it for never
-            # begun, and start it again.
+            # A run in neither list may have ended. A successor would conclude that it
+            # never started, and start it again.
             return effects + self._protect_serving(box, now)
         effects += self._match_absent(box, sent, now)
         if not box.adopted:
             box.adopted = True
-            # It refuses a predecessor's leases from here on, and none that it has is
-            # longer: its tasks need not wait for what that one may still have renewed.
+            # From now on the box rejects a predecessor's renewals, and no lease that it
+            # holds is longer. Its tasks need not wait for further renewals of that one.
             lease_ends = now + self._state.parameters.lease_bound_s
             box.lease_ends = min(box.lease_ends, lease_ends)
             inputs = {
@@ -360,19 +362,19 @@
             effects.append(LogEvent("box_adopted", box.incarnation, inputs))
             effects += self._reclaim_earlier(box, now)
             if box.entry.draining:
-                # Its leaving was seen by a predecessor, which may not have moved all.
+                # A predecessor may not have moved all tasks off the draining box.
                 effects += self._drain(box, now)
         return effects + self._protect_serving(box, now)
 
     def _protect_serving(self, box: BoxView, now: float) -> list[Decision]:
-        """Slow down what disturbs serving tasks."""
+        """Slow down best-effort tasks that interfere with serving tasks."""
         if not box.serving:
             return []
         observe(box, self._state.loads, self._state.interference, now)
         return self.repace(box, now)
 
     def repace(self, box: BoxView, now: float) -> list[Decision]:
-        """Give what fills a box the paces that its serving tasks bear."""
+        """Set the paces of best-effort tasks to what the serving tasks tolerate."""
         effects: list[Decision] = []
         if not self._state.is_enabled(Mechanism.PACING):
             return effects
@@ -383,7 +385,7 @@
         return effects
 
     def _match_running(self, box: BoxView, sent: float, now: float) -> list[Decision]:
-        """Bring our tasks in line with what the box lists as running."""
+        """Update placed tasks from what the box lists as running."""
         effects: list[Decision] = []
         for name, row in box.running.items():
             task = box.tasks.get(name)
@@ -400,8 +402,7 @@
         return effects
 
     def _match_absent(self, box: BoxView, sent: float, now: float) -> list[Decision]:
-        """Bring our tasks in line with what the box lists neither as running nor as
-        ended."""
+        """Update placed tasks that the box lists neither as running nor as ended."""
         effects: list[Decision] = []
         for task in list(box.tasks.values()):
             row = box.running.get(task.name)
@@ -410,7 +411,7 @@
         return effects
 
     def _stop_unknown_run(self, box: BoxView, name: str, run: int) -> list[Decision]:
-        """A run that we have not placed there: an older one, or of an ended job."""
+        """Stop a run that is not placed there: an older one, or of an ended job."""
         inputs = {"run": run}
         return [
             LogEvent("unknown_run_stopped", name, inputs),
@@ -420,9 +421,9 @@
     def _handle_absent_run(
         self, box: BoxView, task: Task, sent: float, now: float
     ) -> list[Decision]:
-        """A task of ours that the box does not run."""
+        """Handle a placed task that the box does not run."""
         if not box.adopted:
-            # Orders of older epochs are refused from here on: it never began.
+            # The box now rejects commands of older epochs, so the run never starts.
             inputs = {
                 "run": task.run,
                 "box": box.incarnation,
@@ -434,14 +435,15 @@
         if not answered:
             return self._retry_stop(task, now)
         if sent <= answered:
-            # The next look tells. To stop it again would make that one too old as well:
-            # where looks wait longer than a stop is repeated, a task alone on its box
-            # was stopped for ever, and its job never ended.
+            # The poll was sent before the stop was answered; the next one shows whether
+            # the run ended. A repeated stop would make that poll too old as well: where
+            # polls wait longer than STOP_RETRY_S, a task alone on its box would be stopped
+            # without end, and its job would never end.
             return []
         if task.state == STOPPING:
             self._progress.requeue(task, now)
             return []
-        # It was started, is not running and has no end: see that it stays so.
+        # The start was answered, but there is no run and no end: make sure none starts.
         return self._progress.stop(task, now)
 
     def _retry_stop(self, task: Task, now: float) -> list[Decision]:
@@ -451,7 +453,7 @@
         return []
 
     def expire_leases(self, now: float) -> list[Decision]:
-        """Take back tasks whose leases must have lapsed, and gone boxes."""
+        """Requeue tasks whose leases have expired, and remove boxes that are gone."""
         effects: list[Decision] = []
         for box in list(self._state.boxes.values()):
             if box.silent_since is None and box.adopted:
@@ -460,9 +462,7 @@
                 self._state.withdrawn_leases.withdraw(box.incarnation)
             if now > box.lease_ends:
                 if not box.listed:
-                    effects += self._remove_box(
-                        box.incarnation, "silent past its lease", now
-                    )
+                    effects += self._remove_box(box.incarnation, "lease expired", now)
                 elif box.tasks:
                     effects += self._lose_expired_tasks(box, now)
         return effects
@@ -472,8 +472,8 @@
         return [event, *self._lose_tasks(box, now)]
 
     def reclaim_orphaned_tasks(self, now: float) -> list[Decision]:
-        """Take back tasks on boxes that are not listed at all, in time. Such a box may
-        have crashed under them while nobody decided."""
+        """Requeue tasks of boxes that were never listed, once their leases have expired.
+        Such a box may have crashed while there was no leader."""
         effects: list[Decision] = []
         for incarnation in list(self._state.inherited):
             if now > self.inherited_lease_end(incarnation):
@@ -481,7 +481,7 @@
         return effects
 
     def _reclaim_unlisted(self, incarnation: str, now: float) -> list[Decision]:
-        """Nothing runs any more on a box that only a predecessor knew."""
+        """Requeue the tasks of a box that only a predecessor knew, and that has ended."""
         tasks = self._state.inherited.pop(incarnation)
         there = [task for task in tasks if task.placed and task.box == incarnation]
         effects: list[Decision] = [
--- a/src/granitetrestle/progress.py
+++ b/src/granitetrestle/progress.py
@@ -1,5 +1,5 @@
-"""How jobs move on: runs end, tasks are tried again, jobs complete, fail or are
-cancelled. Counted ends are never counted again."""
+"""Progress of jobs: applies the ends of runs, retries tasks, and completes, fails or
+cancels jobs. No end is counted twice."""
 
 import typing as t
 
@@ -24,7 +24,7 @@
 
 
 class Progress:
-    """Applies ends of runs and changes of a job's state."""
+    """Applies ends of runs and changes of the states of jobs."""
 
     def __init__(self, state: ShardState) -> None:
         self._state = state
@@ -32,7 +32,7 @@
     def handle_run_end(
         self, incarnation: str, row: EndedRun, now: float
     ) -> list[Decision]:
-        """Apply one end that a box lists."""
+        """Apply the end of a run that a box lists."""
         task = self._state.find_task(row.task)
         if task is None or task.state == DONE:
             return []
@@ -52,8 +52,8 @@
             return effects + self._done(task, row, now)
         current = row.run == task.run and task.placed and task.box == incarnation
         if row.how == "failed" and not task.spec.long_running:
-            # A successor is told again of ends that its predecessor wrote down, but
-            # had not confirmed to the box yet.
+            # Boxes list ends to a successor again that its predecessor had written, but
+            # not yet acknowledged to the box. A set counts each run once.
             task.failed_runs |= {row.run}
             if current:
                 task.times.mark_failed(now)
@@ -90,7 +90,7 @@
         return effects
 
     def _finish(self, task: Task, run: int, now: float) -> list[Decision]:
-        """Count a task as done; another run of it must stop."""
+        """Mark a task as done, and stop another run of it."""
         effects: list[Decision] = []
         if task.placed and task.run != run:
             effects.append(StopTask(task.box, task.name, task.run))
@@ -104,7 +104,7 @@
         return effects
 
     def requeue(self, task: Task, now: float) -> None:
-        """Take a task off its box and let it wait again."""
+        """Remove a task from its box and enqueue it again."""
         clear_suspicion(task, now)
         self._state.free(task)
         task.state = PENDING
@@ -112,9 +112,9 @@
         self._state.enqueue(task, now)
 
     def requeue_lost(self, task: Task, given_up: bool, now: float) -> list[Decision]:
-        """Take a task off a box that was lost with it.
+        """Requeue a task of a lost box, or fail its job.
 
-        :param given_up: it crashed the box, as others before, and is not tried again.
+        :param given_up: whether the task has crashed too many boxes to be tried again.
         """
         box = task.box
         self.requeue(task, now)
@@ -124,7 +124,7 @@
         return self.end(task.workflow, "failed", now, why)
 
     def stop(self, task: Task, now: float) -> list[Decision]:
-        """Order the end of a placed task's run."""
+        """Stop the run of a placed task."""
         task.state = STOPPING
         task.times.enter("stop", now)
         task.stop_sent_at = now
@@ -138,7 +138,7 @@
         now: float,
         inputs: t.Mapping[str, t.Any],
     ) -> list[Decision]:
-        """Give a job its final state and stop what is left of it."""
+        """Set the final state of a job and stop its remaining runs."""
         workflow.end(state, now)
         self._state.mark_job_ended(workflow)
         self._state.remove_waiting(workflow)
@@ -152,7 +152,7 @@
         return effects
 
     def _times(self, workflow: Workflow, now: float) -> dict[str, t.Any]:
-        """Return how long a job took and where its time went."""
+        """Return a job's duration, its lateness and the time spent in each phase."""
         return {
             "queue": workflow.submission.queue,
             "took_s": round(now - workflow.accepted_at, 3),
--- a/src/granitetrestle/scheduler.py
+++ b/src/granitetrestle/scheduler.py
@@ -1,7 +1,8 @@
-"""The reducer of one shard: which job is taken, where each task runs, what is
-stopped. It reads no clock, draws no random numbers and does no I/O; what happens
-comes in as calls with the time, decisions go out as data. Its parts share one
-:class:`~.shardstate.ShardState`."""
+"""The scheduler of one shard: accepts jobs, places tasks on boxes and stops them.
+
+It is deterministic: it reads no clock, draws no random numbers and does no I/O. Events
+are passed in as calls with the time, and decisions are returned as data. Its parts share
+one :class:`~.shardstate.ShardState`."""
 
 import typing as t
 
@@ -52,20 +53,21 @@
 
 __all__ = ["Scheduler"]
 
-# After a box refuses for lack of room, or says that it is unwell, it gets nothing
-# new for so long: one look's time, by which its own account is known.
+# How long a box gets no new tasks after it rejected one for lack of room, or as
+# unhealthy. The next poll, which shows the state of the box, fits in.
 REJECTION_PAUSE_S: t.Final = 0.5
 UNHEALTHY_PAUSE_S: t.Final = 1.5
-# Pace of a task whose last order of pace was not answered: any other differs from it.
+# Pace of a task whose last pace command got no answer. It differs from every real pace,
+# so the next poll sends a command again.
 UNKNOWN_PACE_PERCENT: t.Final = -1
-# How often ended jobs are looked through for those nobody may ask about any more.
+# How often ended jobs are checked for those that are past their retention time.
 RETENTION_SWEEP_INTERVAL_S: t.Final = 2.0
-# What was learnt of images is written this often; a successor loses no more than that.
+# How often learned interference is written. A successor loses no more than this.
 INTERFERENCE_WRITE_INTERVAL_S: t.Final = 3.0
 
 
 class Scheduler:
-    """State of one shard and its step functions."""
+    """Applies events to the state of one shard and returns decisions."""
 
     def __init__(
         self, parameters: SchedulerParameters, now: float, packer: Packer | None = None
@@ -92,36 +94,36 @@
 
     @property
     def evacuation(self) -> Evacuation:
-        """Operators' orders about data halls."""
+        """Operators' directives about data halls."""
         return self._evacuation
 
     @property
     def long_running_waits(self) -> LongRunningWaits:
-        """Why lasting work waits."""
+        """Why long-running tasks wait."""
         return self._long_running_waits
 
     @property
     def dispatcher(self) -> Dispatcher:
-        """What places tasks."""
+        """Places tasks on boxes."""
         return self._dispatcher
 
     @property
     def has_writes(self) -> bool:
-        """Whether decisions wait to be written."""
+        """Whether records of decisions have to be written."""
         return self._state.has_writes
 
     def take_writes(self) -> list[Record]:
-        """Return the records to write for what was decided since the last call."""
+        """Return the records of what was decided since the last call."""
         return self._state.take_writes()
 
     def restore(self, records: t.Iterable[Record], now: float) -> list[Decision]:
-        """Go on from what a predecessor wrote."""
+        """Restore the state from a predecessor's records."""
         return run_to_completion(self.restore_in_slices(records, now))
 
     def restore_in_slices(
         self, records: t.Iterable[Record], now: float
     ) -> SlicedWork[list[Decision]]:
-        """Go on from what a predecessor wrote, a little at a step."""
+        """Restore the state from a predecessor's records, a part at each step."""
         restored = yield from self._state.restore(records, now)
         self._doubtful = restored.with_unreadable_progress
         for workflow in self._state.workflows.values():
@@ -135,8 +137,8 @@
         ]
 
     def _enqueue_doubtful(self, now: float) -> None:
-        """Let jobs go on whose progress could not be read, once nothing that their
-        tasks ran on can hold a lease any more: a start before might be a second run."""
+        """Enqueue jobs whose progress could not be read, once every lease of a
+        predecessor has expired: an earlier start might be a second run of a task."""
         if self._doubtful and now > self._fleet.inherited_leases_end:
             for workflow in self._doubtful:
                 if not workflow.terminal:
@@ -144,7 +146,7 @@
             self._doubtful = []
 
     def apply_config(self, config: Config) -> list[Decision]:
-        """Put a configuration in force, unless a newer one is."""
+        """Apply a configuration unless one of the same or a newer version is in force."""
         current = self._state.config
         if current is not None and config.version <= current.version:
             return []
@@ -154,7 +156,7 @@
         return [LogEvent("config_in_force", "config", inputs)]
 
     def handle_call(self, request: str, call: JobCall, now: float) -> list[Decision]:
-        """Apply what a client account asks."""
+        """Apply a call of a client account."""
         if isinstance(call, SubmitJob):
             return self._submit(request, call, now)
         if isinstance(call, CancelJob):
@@ -197,11 +199,11 @@
     def decide(
         self, now: float, wall_ms: int, max_starts: int = UNLIMITED_STARTS
     ) -> list[Decision]:
-        """Place what waits, and take back what must have ended.
+        """Place waiting tasks, and requeue tasks whose leases have expired.
 
-        :param wall_ms: time of day in ms since 1970, for timed jobs.
-        :param most_starts: orders that can be sent soon; a task that would wait for its
-            turn to be sent keeps its place in the order of urgency instead.
+        :param wall_ms: Unix time in ms, for timed jobs.
+        :param most_starts: how many commands can be sent soon. Any further task stays in
+            the queue, ordered by urgency, rather than wait to be sent.
         """
         effects = self._fleet.expire_leases(now)
         effects += self._fleet.reclaim_orphaned_tasks(now)
@@ -239,14 +241,14 @@
     def apply_advice(
         self, asked: AskAdvice, advice: Advice | AdviceUnavailable, now: float
     ) -> list[Decision]:
-        """Apply what came of asking which boxes may run a step."""
+        """Apply the advisor's answer, or its failure, to a request for advice."""
         return self._dispatcher.apply_advice(asked, advice, now)
 
     def confirm_start(self, command: StartTask, now: float) -> bool:
-        """Say whether a start that was held back should still be sent, which it then is:
-        meanwhile the task may have been stopped, or have gone to another box, or the box
-        leaves or its room shrank, or its data hall was evacuated, or nobody knows whether
-        it was."""
+        """Return whether a delayed start should still be sent, and if so mark it as
+        sent. In the meantime the task may have been stopped or placed on another box, the
+        box may be draining or its capacity may have shrunk, or its data hall may have
+        been evacuated, or the directives about it may be out of date."""
         task = self._state.find_task(command.task)
         if task is None or task.run != command.run or task.box != command.incarnation:
             return False
@@ -260,13 +262,15 @@
     def handle_start_outcome(
         self, incarnation: str, name: str, run: int, outcome: CommandOutcome, now: float
     ) -> list[Decision]:
-        """Apply what came of a start; ``BoxNoAnswer`` leaves it in doubt."""
+        """Apply the outcome of a start; after ``BoxNoAnswer`` it is in doubt."""
         task = self._state.find_task(name)
         current = task is not None and task.run == run and task.box == incarnation
         if isinstance(outcome, BoxReplaced):
             if task is not None and current:
                 task.sent = outcome.reached
-            return self._fleet.mark_ended(incarnation, "another life answered", now)
+            return self._fleet.mark_ended(
+                incarnation, "another incarnation answered", now
+            )
         if task is None or not current:
             return []
         if isinstance(outcome, CommandAccepted):
@@ -274,7 +278,7 @@
                 task.mark_running(now)
                 box = self._state.boxes.get(incarnation)
                 if box is not None and task.spec.best_effort and box.serving:
-                    # What it disturbs should not wait for the next look.
+                    # Serving tasks that it slows should not wait for the next poll.
                     return self._fleet.repace(box, now)
             return []
         if isinstance(outcome, CommandRejected):
@@ -292,8 +296,8 @@
         return [event, *self._progress.stop(task, now)]
 
     def _stop_gang(self, task: Task, now: float) -> list[Decision]:
-        """Stop what else of a gang was placed with a member that never starts: it would
-        wait for it in vain."""
+        """Stop the other members of a gang when one of them will not start: they would
+        wait for it without end."""
         if not task.spec.gang:
             return []
         effects: list[Decision] = []
@@ -321,15 +325,17 @@
     def handle_stop_outcome(
         self, incarnation: str, name: str, run: int, outcome: CommandOutcome, now: float
     ) -> list[Decision]:
-        """Apply what came of a stop."""
+        """Apply the outcome of a stop."""
         if isinstance(outcome, BoxReplaced):
-            return self._fleet.mark_ended(incarnation, "another life answered", now)
+            return self._fleet.mark_ended(
+                incarnation, "another incarnation answered", now
+            )
         if isinstance(outcome, CommandRejected) and outcome.reason == "fence":
             return [StepDown(incarnation)]
         task = self._state.find_task(name)
         current = task is not None and task.run == run and task.box == incarnation
-        # A box that says it is unwell has done nothing: an order to start that got no answer
-        # may be carried out still, after another run is done.
+        # An unhealthy box has not carried out the stop. A start in doubt could still be
+        # carried out there after another run of the task is done.
         refused = isinstance(outcome, CommandRejected) and outcome.reason != "unhealthy"
         answered = isinstance(outcome, CommandAccepted) or refused
         if task is not None and current and answered and task.state == STOPPING:
@@ -337,7 +343,7 @@
         return []
 
     def mark_pace_unknown(self, command: PaceTask) -> None:
-        """Let the next look order a pace again that may not have arrived."""
+        """Let the next poll repeat a pace command that may not have arrived."""
         task = self._state.find_task(command.task)
         if task is not None and task.run == command.run:
             task.pace = UNKNOWN_PACE_PERCENT
