--- a/src/granitetrestle/interference.py
+++ b/src/granitetrestle/interference.py
@@ -34,7 +34,7 @@
 # Keeps an estimate from becoming too certain to be corrected.
 MIN_SENSITIVITY_VARIANCE: t.Final = 0.02
 # Below this share of a box, an image's effect is too small to learn from.
-MIN_CPU_SHARE: t.Final = 0.01
+MIN_LEARNING_CPU_SHARE: t.Final = 0.01
 # Above this the tail latency is only a lower bound for the busy share.
 SATURATED_BUSY_SHARE: t.Final = 0.9
 
@@ -265,7 +265,9 @@
         :param best_effort_shares: as for :meth:`slowdown`.
         """
         best_effort_shares = {
-            image: x for image, x in best_effort_shares.items() if x >= MIN_CPU_SHARE
+            image: x
+            for image, x in best_effort_shares.items()
+            if x >= MIN_LEARNING_CPU_SHARE
         }
         if not best_effort_shares or not self._learns:
             return
--- a/src/granitetrestle/pacing.py
+++ b/src/granitetrestle/pacing.py
@@ -32,7 +32,7 @@
 # Time within which measurements follow a change of the best-effort tasks.
 MEASUREMENT_LAG_S: t.Final = 0.5
 # Share of a box below which processor use can't be told from none.
-MIN_CPU_SHARE: t.Final = 0.005
+MIN_MEASURABLE_CPU_SHARE: t.Final = 0.005
 # Paces are rounded down to a multiple of the first, and raised by no more than the
 # second in one poll.
 PACE_STEP_PERCENT: t.Final = 10
@@ -153,7 +153,7 @@
     box.best_effort_shares = {
         image: share
         for image, share in box.best_effort_shares.items()
-        if share > MIN_CPU_SHARE
+        if share > MIN_MEASURABLE_CPU_SHARE
     }
     box.best_effort_grew = sum(box.best_effort_shares.values()) >= previous
 
--- a/src/granitetrestle/unloadedtails.py
+++ b/src/granitetrestle/unloadedtails.py
@@ -9,7 +9,7 @@
 __all__ = ["UnloadedTails"]
 
 # Share of time that a task is busy when its tail latency is at its lowest.
-MIN_BUSY_SHARE: t.Final = 0.25
+LOWEST_TAIL_BUSY_SHARE: t.Final = 0.25
 # Until the first poll. Unloaded tails of a sixth and of a fifth of the target occur.
 INITIAL_LOWEST_TAIL: t.Final = 0.22
 # The lowest tail is tracked as this quantile of all tails, since measurements are
@@ -34,7 +34,9 @@
 
     def tail_share(self, image: str) -> float:
         """Return the unloaded tail latency as a share of the target."""
-        unloaded = self._lowest.get(image, INITIAL_LOWEST_TAIL) * (1.0 - MIN_BUSY_SHARE)
+        unloaded = self._lowest.get(image, INITIAL_LOWEST_TAIL) * (
+            1.0 - LOWEST_TAIL_BUSY_SHARE
+        )
         return max(MIN_UNLOADED_TAIL, min(MAX_UNLOADED_TAIL, unloaded))
 
     def busy_share(self, image: str, level: float) -> float:
