--- a/src/granitetrestle/interference.py
+++ b/src/granitetrestle/interference.py
@@ -31,9 +31,9 @@
 REPEATED_SAMPLE_FACTOR: t.Final = 2.0
 # Limit that lets a few polls reverse the classification of a pair.
 MAX_LOG_ODDS: t.Final = 6.0
-# Keeps an estimate from becoming too certain to be corrected.
+# No estimate is taken for more certain than this.
 MIN_SENSITIVITY_VARIANCE: t.Final = 0.02
-# Below this share of a box, an image's effect is too small to learn from.
+# Images below this share of a box are left out of an update.
 MIN_LEARNING_CPU_SHARE: t.Final = 0.01
 # Above this the tail latency is only a lower bound for the busy share.
 SATURATED_BUSY_SHARE: t.Final = 0.9
--- a/src/granitetrestle/pacing.py
+++ b/src/granitetrestle/pacing.py
@@ -37,7 +37,8 @@
 # second in one poll.
 PACE_STEP_PERCENT: t.Final = 10
 MAX_PACE_RAISE_PERCENT: t.Final = 30
-# A task that was kept at or below this pace for longer than this is moved.
+# A task that was kept at or below this pace for longer than this is better off on
+# another box.
 SLOW_PACE_PERCENT: t.Final = 30
 MIN_SLOW_BEFORE_MOVE_S: t.Final = 1.2
 
