--- a/src/granitetrestle/jobrecords.py
+++ b/src/granitetrestle/jobrecords.py
@@ -1,7 +1,9 @@
-"""How jobs lie in the store, so that a successor can go on from them. What is written
-grows with what changed: the progress of a job is kept in groups of tasks, of which only
-those that changed are written, and of an ended job its state alone remains. With one
-record for all tasks of a job, a job of n tasks wrote n squared of them."""
+"""Storage format of jobs, from which a successor restores them.
+
+The amount written is proportional to what changed: the progress of a job is stored in
+groups of tasks, of which only changed ones are written, and of an ended job only its
+state remains. With one record for all tasks of a job, a job of n tasks wrote n squared
+rows."""
 
 import collections
 import typing as t
@@ -26,14 +28,18 @@
 GROUP_KEY: t.Final = "t/"
 ENDED_KEY: t.Final = "e/"
 INTERFERENCE_KEY: t.Final = "i/"
-# Tasks in one record. Smaller groups write fewer bytes for a task that changes and more
-# records for a job: a page of the store has 500, and a successor reads all pages.
+# Tasks in one record. Smaller groups write fewer bytes for a changed task but more
+# records for a job: a page of the store has 500 records, and a successor reads all
+# pages.
 GROUP_TASKS: t.Final = 16
 TERMINAL_STATES: t.Final = frozenset({"completed", "failed", "cancelled"})
 
 
 class GroupId(t.NamedTuple):
-    """Some tasks of one step of a job, by their index divided by the group's size."""
+    """Tasks of one step of a job that share a record.
+
+    :param number: index of each of the tasks divided by the group's size, rounded down.
+    """
 
     job: str
     occurrence: int
@@ -42,13 +48,14 @@
 
     @property
     def key(self) -> str:
-        """The key under which it lies in the store."""
+        """The key of the group's record in the store."""
         place = f"{self.occurrence}.{self.step}.{self.number}"
         return f"{GROUP_KEY}{self.job}/{place}"
 
 
 class TaskRow(msgspec.Struct, frozen=True, array_like=True):
-    """A task that was started; one that is done has nothing after its state."""
+    """A task that was started; the fields after the state are only set until it is
+    done."""
 
     index: int
     run: int
@@ -62,7 +69,7 @@
 class JobRow(msgspec.Struct, frozen=True, array_like=True):
     """A job's state: a terminal one, or empty.
 
-    :param tasks: older versions kept here, for each task that was ever started:
+    :param tasks: written by older versions only, for each task that was ever started:
         occurrence, step, index, run, state, box, failed runs, checkpoint.
     """
 
@@ -71,7 +78,7 @@
 
 
 class EndedRow(msgspec.Struct, frozen=True, array_like=True):
-    """All that is kept of a job of which nothing runs any more."""
+    """All that is stored of an ended job whose tasks have all stopped."""
 
     state: str
     queue: str
@@ -110,7 +117,7 @@
 
 
 class JobRecords:
-    """What of the jobs must be written, and as what."""
+    """Collects changes of jobs and turns them into records."""
 
     def __init__(self) -> None:
         self._accepted: dict[str, Workflow] = {}
@@ -118,12 +125,12 @@
         self._states: dict[str, Workflow] = {}
         self._ended: dict[str, Workflow] = {}
         self._dropped: set[str] = set()
-        # Groups that lie in the store, by job, to be dropped with it.
+        # Groups in the store, by job, to be deleted with the job.
         self._stored: dict[str, set[GroupId]] = {}
 
     @property
     def waiting(self) -> bool:
-        """Whether something must be written."""
+        """Whether records must be written."""
         return bool(
             self._accepted
             or self._groups
@@ -133,32 +140,32 @@
         )
 
     def add_job(self, workflow: Workflow) -> None:
-        """Note a new job."""
+        """Add a new job."""
         self._accepted[workflow.submission.job] = workflow
 
     def mark_task_changed(self, task: Task) -> None:
-        """Note that a task's run, state, box or failures changed."""
+        """Mark that a task's run, state, box or failures changed."""
         self._groups[_group_of(task)] = task.workflow
 
     def mark_ended(self, workflow: Workflow) -> None:
-        """Note that a job has ended."""
+        """Mark that a job has ended."""
         self._states[workflow.submission.job] = workflow
 
     def mark_retired(self, workflow: Workflow) -> None:
-        """Note that only the state of an ended job is owed any more."""
+        """Mark that only the state of an ended job is still needed."""
         self._ended[workflow.submission.job] = workflow
 
     def mark_dropped(self, job: str) -> None:
-        """Note that a job is forgotten for good."""
+        """Mark that a job is removed, with all its records."""
         self._ended.pop(job, None)
         self._dropped.add(job)
 
     def add_stored_group(self, group: GroupId) -> None:
-        """Note that a record lies in the store."""
+        """Add a group whose record is in the store."""
         self._stored.setdefault(group.job, set()).add(group)
 
     def pop_records(self) -> list[Record]:
-        """Return what must be written since the last call."""
+        """Return the records of all changes since the last call."""
         records = []
         for workflow in self._accepted.values():
             records.append(submission_record(workflow.submission))
@@ -166,7 +173,8 @@
             if not workflow.retired:
                 records.append(Record(group.key, _encode(_rows(group, workflow))))
                 self.add_stored_group(group)
-        # After the groups: a record of an older version's form is replaced here.
+        # Written after the groups, since this replaces a record in the old format that
+        # holds the tasks itself.
         for job, workflow in self._states.items():
             if not workflow.retired:
                 value = _encode(JobRow(workflow.ended or ""))
@@ -200,12 +208,13 @@
 
 
 class Restored(t.NamedTuple):
-    """What a predecessor wrote.
+    """The state that a predecessor wrote.
 
-    :param learnt: image -> what was learnt of it.
-    :param unleased: boxes where it renewed no lease any more, by life.
-    :param older: jobs that lie there in an older version's form.
-    :param doubtful: jobs of which a record of progress can't be read.
+    :param interference: image -> encoded interference model of it.
+    :param without_lease: incarnations of boxes whose leases it no longer renewed.
+    :param groups: the groups in the store.
+    :param in_old_format: jobs stored in the format of an older version.
+    :param with_unreadable_progress: jobs with a progress record that can't be read.
     """
 
     workflows: dict[str, Workflow]
@@ -218,8 +227,8 @@
 
 
 def restore_jobs(records: t.Iterable[Record], now: float) -> SlicedWork[Restored]:
-    """Return the jobs in ``records``, a few at a step. One that can't be read is named,
-    and the rest goes on."""
+    """Restore jobs from ``records``, one in each step. Records that can't be read are
+    listed in ``unreadable`` and the rest is restored."""
     by_kind: dict[str, dict[str, bytes]] = collections.defaultdict(dict)
     for record in records:
         if record.value is not None:
@@ -292,7 +301,9 @@
     try:
         occurrence, step, number = map(int, numbers.split("."))
     except ValueError:
-        restored.unreadable.append(UnreadableRecord(GROUP_KEY + place, "no group"))
+        restored.unreadable.append(
+            UnreadableRecord(GROUP_KEY + place, "no group number")
+        )
         return
     restored.groups.append(GroupId(job, occurrence, step, number))
     rows = _read(_task_rows, GROUP_KEY + place, value, restored)
@@ -316,7 +327,8 @@
         return
     task.state = row.state
     if task.workflow.terminal and task.placed:
-        # Its stop may never have been sent: the job's end was written, its tasks' not.
+        # The job's end was written but the task's was not, so its stop may never have
+        # been sent.
         task.state = STOPPING
     task.box = row.box if task.placed else ""
     task.started_at = now
--- a/src/granitetrestle/journal.py
+++ b/src/granitetrestle/journal.py
@@ -1,7 +1,9 @@
-"""Writes a shard's decisions to the store in batches, and lets their effects go only
-when they are durable. An append without an answer is repeated under its number until
-the store says how it went; only a newer epoch ends that. A repeat does not end the
-try before it: a store that is slow answers that one first."""
+"""Write-ahead journal of a shard: writes the leader's decisions to the store in batches
+and releases their effects only when they are durable.
+
+An append without an answer is repeated under the same sequence number until the store
+answers; only a newer epoch ends that. A repeat does not cancel the attempt before it,
+which a slow store answers first."""
 
 import typing as t
 
@@ -19,13 +21,13 @@
 
 __all__ = ["Journal", "JournalStatus", "NotKept"]
 
-# The store's calls are priced and limited; half of this is added to a decision at
-# the mean, little beside what a short job may take.
+# The store charges for calls and limits them. A decision waits half of this on average,
+# which is little compared to the time that a short job may take.
 BATCH_INTERVAL_S: t.Final = 0.015
-# With nothing to write, an append of the mark alone proves that this epoch decides.
+# With nothing to write, an append of the state digest alone confirms the leader lease.
 CONFIRM_INTERVAL_S: t.Final = 0.4
-# After several times its usual time an append is repeated beside the try before, and
-# again after twice as long each; a try is given up after the longest time.
+# An append is repeated next to the previous attempt after this many times its usual
+# duration, and again after delays that double. An attempt is given up at the timeout.
 REPEAT_DELAY_FACTOR: t.Final = 8.0
 MIN_REPEAT_DELAY_S: t.Final = 0.1
 APPEND_TIMEOUT_S: t.Final = 1.2
@@ -40,11 +42,11 @@
 
 
 class JournalStatus(t.NamedTuple):
-    """How well the store takes our appends.
+    """Progress of the appends.
 
     :param confirmed_at: when the newest append that succeeded was sent.
     :param answered_at: when it was answered.
-    :param waiting_since: when the append under way was first sent, if there is one.
+    :param waiting_since: when the pending append was first sent, if there is one.
     """
 
     confirmed_at: float
@@ -53,10 +55,11 @@
 
 
 class NotKept(t.NamedTuple):
-    """An append whose answer does not show that its records are kept.
+    """An append whose answer does not prove that its records are kept.
 
-    :param before: where the topic ended before it, by the answer then.
-    :param end: where it ends by the answer to this one.
+    :param records: number of its records.
+    :param before: end offset of the topic by the answer to the append before.
+    :param end: end offset by the answer to this append.
     """
 
     sequence: int
@@ -66,16 +69,17 @@
 
 
 class Journal:
-    """The one writer of a shard's topic in one epoch.
-
-    :param prepare: makes the decisions that are due and returns what to write.
-    :param release: carries out what the batch held back.
-    :param unanswered: told why an append is repeated, and how long it has taken.
-    :param not_kept: told of an append that was answered, and after which the store's log
-        did not end as much later as it had records.
-    :param end: where the topic ended as this epoch was raised, if that is known.
-    :param call_bytes: most that the store takes in one call. A batch above it would be
-        refused and repeated for ever.
+    """The only writer of a shard's topic in one epoch.
+
+    :param prepare: makes the decisions that are due and returns the records to write.
+    :param release: carries out the effects that were held back for the batch.
+    :param on_unanswered: called with the reason why an append is repeated, and with the
+        seconds since it was first sent.
+    :param on_not_kept: called for an append that was answered although the topic did
+        not grow by the number of its records.
+    :param end: end offset of the topic when this epoch was claimed, if that is known.
+    :param call_bytes: size limit of the store for one call. A larger batch would be
+        refused and repeated forever.
     """
 
     def __init__(
@@ -100,12 +104,12 @@
         self._clock = clock
         self._on_unanswered = on_unanswered
         self._on_not_kept = on_not_kept
-        # Where the topic ends by the newest answer; it has one writer.
+        # End offset of the topic by the newest answer; nobody else writes to it.
         self._end = end
         self._digest_tracker = DigestTracker()
         self._batch_bytes = min(MAX_BATCH_BYTES, call_bytes) - DIGEST_BYTES
         self._held: list[t.Any] = []
-        # Whether somebody waits for the next append, and what tells that one succeeded.
+        # Whether an append was requested, and the event of the next success.
         self._append_requested = False
         self._success = anyio.Event()
         self._wake = anyio.Event()
@@ -117,7 +121,7 @@
 
     @property
     def status(self) -> JournalStatus:
-        """How well the store takes our appends."""
+        """Progress of the appends."""
         return JournalStatus(self._confirmed_at, self._answered_at, self._waiting_since)
 
     @property
@@ -127,45 +131,46 @@
 
     @property
     def end(self) -> int | None:
-        """Where the topic ends by the newest answer."""
+        """End offset of the topic by the newest answer."""
         return self._end
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is held back."""
+        """Whether no effect is held back and no append is pending."""
         return not self._held and self._waiting_since is None
 
     def start_from(self, records: t.Iterable[Record]) -> None:
-        """Learn what the topic holds before the first append."""
+        """Set the records of the topic before the first append."""
         self._digest_tracker = DigestTracker(records)
 
     def hold(self, effect: t.Any) -> None:
-        """Keep an effect until all that was decided so far is durable."""
+        """Hold an effect back until all decisions made so far are durable."""
         self._held.append(effect)
         self._wake.set()
 
     def request_batch(self) -> None:
-        """Let the next batch come soon: there is something to decide or write."""
+        """Start the next batch soon, since there is something to decide or write."""
         self._wake.set()
 
     def now(self) -> float:
-        """Return the time on the clock by which appends are timed."""
+        """Return the time of the clock that times the appends."""
         return self._clock()
 
     def request_append(self) -> None:
-        """Let an append come soon, whether or not there is something to write."""
+        """Append soon, even if there is nothing to write."""
         self._append_requested = True
         self.request_batch()
 
     async def confirm(self) -> None:
-        """Return once an append that is sent from now on has succeeded."""
+        """Return once an append sent after this call has succeeded."""
         requested_at = self._clock()
         while self._confirmed_at < requested_at:
             self.request_append()
             await self._success.wait()
 
     async def run(self) -> Fenced | NumberTaken:
-        """Write batches until a newer epoch is met, or somebody else in this one."""
+        """Write batches until the store reports a newer epoch or another writer in this
+        one."""
         while True:
             with anyio.move_on_after(CONFIRM_INTERVAL_S):
                 await self._wake.wait()
@@ -185,9 +190,9 @@
         return self._clock() - self._confirmed_at > CONFIRM_INTERVAL_S
 
     async def _append(self, batch: t.Sequence[Record]) -> _Outcome:
-        # With its mark no append is empty. An empty one has its number in common with the
-        # next, which a store may answer as a repeat and not keep: a successor would start
-        # again what was done.
+        # The state digest keeps every append from being empty. An empty append may
+        # share its number with the next one, which a store may take for a repeat and
+        # not keep: a successor would then start completed tasks again.
         records = self._digest_tracker.with_digest(batch)
         self._sequence += 1
         writer = Writer(self._epoch, self._sequence)
@@ -207,7 +212,7 @@
         return settled.outcome
 
     def _is_kept(self, writer: Writer, records: int, end: int) -> bool:
-        """Say whether the topic ends as much later as was appended."""
+        """Return whether the topic has grown by at least the records of the append."""
         if self._end is not None and end < self._end + records:
             self._on_not_kept(NotKept(writer.sequence, records, self._end, end))
             return False
@@ -217,7 +222,7 @@
     async def _append_until_answered(
         self, records: t.Sequence[Record], writer: Writer
     ) -> "_Settled":
-        """Try until the store says how the append went."""
+        """Repeat the append until the store answers."""
         settled: list[_Settled] = []
         started_at = self._clock()
         repeat_delay_s = max(
@@ -258,9 +263,9 @@
 
 
 class _Settled(t.NamedTuple):
-    """How an append went.
+    """The answer to an append.
 
-    :param sent: when the try that was answered was sent.
+    :param sent_at: when the attempt that was answered was sent.
     """
 
     outcome: _Outcome
@@ -268,7 +273,7 @@
 
 
 def _split_batches(records: list[Record], max_bytes: int) -> t.Iterator[list[Record]]:
-    """Cut records into calls of at most so many bytes; at least one call."""
+    """Split records into batches of up to ``max_bytes``; yields at least one batch."""
     batch: list[Record] = []
     size = 0
     for record in records:
--- a/src/granitetrestle/newestread.py
+++ b/src/granitetrestle/newestread.py
@@ -1,6 +1,8 @@
-"""Reads the newest record of each key, page by page. What must be read has no bound but
-the store's own: with one, a topic that outgrew it could never be read again, and nobody
-could take over. A page that fails is asked for again, and those before it are kept."""
+"""Reads the newest record of each key of a topic, page by page.
+
+The size of a read has no limit but the store's own: a topic that outgrew a limit could
+never be read again, and nobody could take over. A page that fails is requested again,
+and the pages before it are kept."""
 
 import typing as t
 
@@ -15,18 +17,23 @@
 
 __all__ = ["NewestReader", "read_newest"]
 
-# A page has up to a megabyte, which the smallest links (10 Mbit/s) carry in a second.
+# A page has up to one megabyte, which the slowest links (10 Mbit/s) carry in one
+# second.
 PAGE_TIMEOUT_S: t.Final = 5.0
 PAGE_RETRY_INTERVAL_S: t.Final = 0.1
-# Tries in a row of one page, after which another process may fare better.
+# Failed attempts in a row at one page, after which this process gives up: another one
+# may have a better connection to the store.
 MAX_PAGE_ATTEMPTS: t.Final = 20
-NO_PROGRESS: t.Final = "no progress: a page ends with a key that was there before"
+NO_PROGRESS: t.Final = (
+    "no progress: the page is empty or ends with the last key of an earlier one"
+)
 
 
 class NewestReader:
-    """One read of a topic; goes on from the page that failed.
+    """One read of a topic, which can resume at the page that failed.
 
-    :param from_end: a page of the topic as it was before it ended there is refused.
+    :param min_end: smallest acceptable end offset; a page that shows the topic as it
+        was before is refused.
     """
 
     def __init__(self, store: Store, topic: str, min_end: int = 0) -> None:
@@ -35,23 +42,23 @@
         self._min_end = min_end
         self._records: list[Record] = []
         self._end: int | None = None
-        # Last keys of the pages so far. The order of keys is the store's own: a lower
-        # key proves nothing, one that was there before proves a loop.
+        # Last keys of the pages so far. The store chooses the order of keys, so a lower
+        # key proves nothing; a key that ended an earlier page proves a loop.
         self._last_keys: set[str] = set()
         self._after: str | None = None
         self._pages = 0
 
     async def resume(self, timeout_s: float) -> NewestRecords | NewestUnavailable:
-        """Read until the last page, or one that fails.
+        """Read up to the last page, or to one that fails.
 
-        :param timeout_s: for each page.
+        :param timeout_s: timeout of each page.
         """
         while True:
             page = await self._store.newest_page(self._topic, self._after, timeout_s)
             if isinstance(page, StoreUnavailable):
                 return self._failed(page.reason)
             if page.end < self._min_end:
-                return self._failed(f"a page of {page.end}, not of {self._min_end}")
+                return self._failed(f"page of end {page.end}, below {self._min_end}")
             if page.more and self._repeats_a_key(page):
                 return self._failed(NO_PROGRESS)
             end = self._add_page(page)
@@ -62,9 +69,9 @@
         return not page.records or page.records[-1].key in self._last_keys
 
     def _add_page(self, page: NewestPage) -> int:
-        """Keep a page; returns the offset from which to read on."""
+        """Add a page; returns the offset from which changes must be read."""
         if self._end is None:
-            # Pages are no snapshot: what comes after the first is read again.
+            # The pages are no snapshot: changes after the first page are read again.
             self._end = page.end
         self._records += page.records
         self._pages += 1
@@ -80,9 +87,9 @@
 async def read_newest(
     store: Store, topic: str, min_end: int = 0
 ) -> NewestRecords | NewestUnavailable:
-    """Return the newest record of each key, unless one page fails again and again.
+    """Return the newest record of each key, unless one page fails repeatedly.
 
-    :param from_end: how far the topic was read before; nothing older is taken.
+    :param min_end: end offset of an earlier read; older pages are refused.
     """
     reader = NewestReader(store, topic, min_end)
     attempts = pages = 0
--- a/src/granitetrestle/registry.py
+++ b/src/granitetrestle/registry.py
@@ -1,5 +1,5 @@
-"""Who the processes of the system are and who decides, as kept in the store: read at
-the start, and when a process hears nobody."""
+"""Registry of processes and of the leader, kept in the store. It is read at the start
+and when a process hears no peer."""
 
 import time
 import typing as t
@@ -24,7 +24,8 @@
 
 
 class NodeEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Where a process listens for its peers, its data hall, and its processor share."""
+    """A process: the address where it listens for its peers, its data hall and
+    cores."""
 
     address: str
     hall: str
@@ -32,7 +33,10 @@
 
 
 class LeaderEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Who decides; ``beat`` rises while it does."""
+    """The leader of an epoch.
+
+    :param beat: heartbeat, which increases while it leads.
+    """
 
     epoch: int = 0
     node: str = ""
@@ -40,9 +44,9 @@
 
 
 class RegistryEntries(t.NamedTuple):
-    """What the store shows.
+    """The entries that the store shows.
 
-    :param unreadable: keys of entries that can't be read, which are passed over.
+    :param unreadable: keys of entries that can't be read, which are skipped.
     """
 
     nodes: dict[str, NodeEntry]
@@ -51,14 +55,15 @@
 
 
 class HeartbeatWatch:
-    """Follows the decider's beat in the store."""
+    """Measures for how long the leader's heartbeat in the store has not changed."""
 
     def __init__(self) -> None:
         self._beat: tuple[int, int] | None = None
         self._since = 0.0
 
     def age_s(self, known: RegistryEntries) -> float:
-        """Return for how long the beat has stood still, by what was read before."""
+        """Return for how many seconds the heartbeat has had the value just read, as far
+        as earlier reads show."""
         now = time.monotonic()
         beat = (known.leader.epoch, known.leader.beat)
         if beat != self._beat:
@@ -79,13 +84,13 @@
 
 
 class Registry:
-    """Reads and writes the entries."""
+    """Reads and writes the registry's entries."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
 
     async def read(self) -> RegistryEntries | StoreUnavailable:
-        """Return all processes and the newest decider."""
+        """Return all processes and the newest leader."""
         outcome = await NewestReader(self._store, NODES_TOPIC).resume(READ_TIMEOUT_S)
         if isinstance(outcome, NewestUnavailable):
             return StoreUnavailable(outcome.reason)
@@ -103,11 +108,12 @@
         return RegistryEntries(nodes, leader, tuple(unreadable))
 
     async def register(self, node: str, entry: NodeEntry) -> bool:
-        """Enter a process; says whether the store took it."""
+        """Write the entry of a process; returns whether the store accepted it."""
         return await self._write(NODE_KEY + node, _encode(entry))
 
     async def beat(self, epoch: int, node: str, beat: int) -> bool:
-        """Show that the decider of ``epoch`` is at work."""
+        """Write a heartbeat of the leader of ``epoch``; returns whether the store
+        accepted it."""
         return await self._write(LEADER_KEY, _encode(LeaderEntry(epoch, node, beat)))
 
     async def _write(self, key: str, value: bytes) -> bool:
--- a/src/granitetrestle/statedigest.py
+++ b/src/granitetrestle/statedigest.py
@@ -1,9 +1,11 @@
-"""What proves to a successor that the records it has read are all that its predecessor
-believed to be kept. Each append ends with a mark: a sum over the keys and values that the
-topic holds from then on. So no append is empty, and none has its number in common with
-another; a reading that leaves records out, or shows older ones, does not agree with its
-mark; and one that does not show a successor's own first record is older than its epoch, or
-the epoch is not its own."""
+"""State digest: lets a successor verify that it has read all records that its
+predecessor took for kept.
+
+Each append ends with a digest: a checksum over the keys and values that the topic holds
+from then on. So no append is empty, and no two appends share a sequence number. A read
+that lacks records or shows older ones does not match its digest. A read that lacks the
+successor's own first record, its epoch claim, is older than its epoch, or another
+process or incarnation has claimed the epoch."""
 
 import enum
 import typing as t
@@ -25,21 +27,22 @@
     "verify_read",
 ]
 
-# Keys of no job: a reader of jobs passes over them.
+# These are no keys of jobs; readers of jobs ignore them.
 DIGEST_KEY: t.Final = "m/state"
 EPOCH_CLAIM_KEY: t.Final = "m/taken"
 _OWN_KEYS: t.Final = frozenset({DIGEST_KEY, EPOCH_CLAIM_KEY})
-# The most that a mark adds to an append, with the lengths before it.
+# Upper limit of the bytes that a digest adds to an append, with its length prefixes.
 DIGEST_BYTES: t.Final = 64
-# A topic that has seen no more records than this may hold nothing but those with which
-# epochs were raised: all processes try at the first start, some of them several times.
+# A topic without a digest that ends below this offset may hold nothing but epoch
+# claims: at the first start all processes try to take over, some of them several times.
 MAX_RECORDS_OF_CLAIMS: t.Final = 64
 
 
 class StateDigest(msgspec.Struct, frozen=True, array_like=True):
-    """What a topic holds, records of this module left out.
+    """Digest of a topic's records without those of this module.
 
-    :param total: exclusive or of the check sums of each key with its value.
+    :param keys: number of keys.
+    :param total: exclusive or of the checksums of each key with its value.
     """
 
     keys: int
@@ -47,17 +50,20 @@
 
 
 class _EpochClaimant(msgspec.Struct, frozen=True, array_like=True):
-    """Which life of a process raised an epoch."""
+    """Stored form of an epoch claim.
+
+    :param by: the incarnation of the process that claimed the epoch.
+    """
 
     epoch: int
     by: str
 
 
 class EpochClaim(t.NamedTuple):
-    """An epoch that was raised.
+    """An epoch that was claimed at the store.
 
-    :param by: the life of the process that raised it.
-    :param end: where the topic ended then.
+    :param by: the incarnation of the process that claimed it.
+    :param end: end offset of the topic after the claim.
     """
 
     epoch: int
@@ -66,7 +72,7 @@
 
     @staticmethod
     def record(epoch: int, by: str) -> Record:
-        """Return the record with which a process raises an epoch."""
+        """Return the record with which a process claims an epoch."""
         return Record(EPOCH_CLAIM_KEY, _encode(_EpochClaimant(epoch, by)))
 
 
@@ -76,9 +82,9 @@
 
 
 class DigestTracker:
-    """Follows what a topic holds.
+    """Keeps the digest of a topic up to date.
 
-    :param records: what it holds now.
+    :param records: the records that the topic holds now.
     """
 
     def __init__(self, records: t.Iterable[Record] = ()) -> None:
@@ -99,42 +105,46 @@
 
     @property
     def digest(self) -> StateDigest:
-        """What the topic holds now."""
+        """The digest of the topic's current records."""
         return StateDigest(len(self._checksums), self._combined)
 
     def with_digest(self, records: t.Sequence[Record]) -> list[Record]:
-        """Return the records of an append with their mark."""
+        """Return the records of an append followed by the digest after it."""
         for record in records:
             self._apply(record)
         return [*records, Record(DIGEST_KEY, _encode(self.digest))]
 
 
 class Verdict(enum.Enum):
-    """What a reading is that is not proved to be the whole of what was kept."""
+    """Why a read is not proved to be complete."""
 
-    # It is older than the epoch, or part of it is.
+    # The read, or part of it, is older than the epoch.
     OUTDATED = "old"
-    # Another process has raised a newer epoch.
+    # Another process has claimed a newer epoch.
     SUPERSEDED = "over"
-    # An earlier life of this process has decided in the epoch.
+    # An earlier incarnation of this process has led in the epoch.
     EPOCH_REUSED = "used"
-    # It does not agree with its mark: records are missing, or older ones are shown.
+    # The read does not match its digest: records are missing, or older ones are shown.
     DIGEST_MISMATCH = "differs"
-    # It has no mark: an older version of this program wrote last, or the mark is missing.
+    # The digest is missing, or an older version of this program, which writes none,
+    # wrote last.
     NO_DIGEST = "unmarked"
 
 
 class IncompleteRead(t.NamedTuple):
-    """Why a reading is not proved to be the whole of what was kept."""
+    """A read that is not proved to be complete.
+
+    :param reason: the values that differ, for the log.
+    """
 
     verdict: Verdict
     reason: str
 
 
 def verify_read(read: NewestRecords, claim: EpochClaim) -> IncompleteRead | None:
-    """Return why a reading is not proved to be whole, or ``None`` if it is.
+    """Return why a read is not proved to be complete, or ``None`` if it is.
 
-    :param taken: the epoch, as it was raised before the reading.
+    :param claim: the claim of this process's epoch, made before the read.
     """
     values = {record.key: record.value for record in read.records}
     claimant = _decode_claimant(values.get(EPOCH_CLAIM_KEY))
@@ -144,11 +154,11 @@
     if DIGEST_KEY not in values:
         if not actual.keys and claim.end <= MAX_RECORDS_OF_CLAIMS:
             return None
-        return IncompleteRead(Verdict.NO_DIGEST, f"no mark beside {actual.keys} keys")
+        return IncompleteRead(Verdict.NO_DIGEST, f"no digest with {actual.keys} keys")
     try:
         expected = _digest_decoder.decode(values[DIGEST_KEY] or b"")
     except msgspec.DecodeError as error:
-        return IncompleteRead(Verdict.NO_DIGEST, f"the mark can't be read: {error}")
+        return IncompleteRead(Verdict.NO_DIGEST, f"unreadable digest: {error}")
     if actual == expected:
         return None
     return IncompleteRead(Verdict.DIGEST_MISMATCH, f"{actual}, not {expected}")
@@ -164,7 +174,7 @@
 def _foreign_claim(
     claimant: _EpochClaimant | None, claim: EpochClaim
 ) -> IncompleteRead:
-    reason = f"the epoch's first record is not there, but {claimant}"
+    reason = f"found {claimant}, expected epoch {claim.epoch} by {claim.by!r}"
     if claimant is None or claimant.epoch < claim.epoch:
         return IncompleteRead(Verdict.OUTDATED, reason)
     if claimant.epoch > claim.epoch:
--- a/src/granitetrestle/succession.py
+++ b/src/granitetrestle/succession.py
@@ -1,7 +1,8 @@
-"""How a process becomes the decider: it raises the epoch at the store and reads what its
-predecessor wrote, until the reading is proved to be the whole of it. A successor that took
-any reading for whole started again what its predecessor had done: up to 192 tasks in 30 s
-of work that was shown as completed, where the store showed records 3 s late."""
+"""Take-over: a process claims an epoch at the store and reads its predecessor's records
+until the read is proved to be complete.
+
+Without this proof a successor starts completed tasks again: on a store that shows
+records 3 s late these were up to 192 tasks in 30 s of work."""
 
 import time
 import typing as t
@@ -26,16 +27,18 @@
 
 JOBS_TOPIC: t.Final = "keyed.jobs"
 CLAIM_TIMEOUT_S: t.Final = 1.0
-# A page has up to a megabyte, which the smallest links (10 Mbit/s) carry in a second.
+# A page has up to one megabyte, which the slowest links (10 Mbit/s) carry in one
+# second.
 PAGE_TIMEOUT_S: t.Final = 2.0
-# A page that fails, and a reading that is not whole, are read again after this.
+# Wait before a failed page, or an incomplete read, is read again.
 READ_RETRY_INTERVAL_S: t.Final = 0.1
-# Another process may fare better than one to which the store has refused a page so often,
-# or that no page has reached for so long.
+# After this many failed attempts at one page, or this time without a new page, this
+# process gives up: another one may have a better connection to the store.
 MAX_PAGE_ATTEMPTS: t.Final = 20
 PAGE_PROGRESS_TIMEOUT_S: t.Final = 4.0
-# What a reading lacks for so long is lost: to wait longer would leave nobody deciding. An
-# older version writes no marks, which is seen at the first change to this one.
+# Records that are missing for this long count as lost: a longer wait would leave the
+# shard without a leader. An older version of this program writes no digests, which is
+# met at the first take-over after an upgrade.
 DIGEST_MISMATCH_TIMEOUT_S: t.Final = 4.0
 NO_DIGEST_TIMEOUT_S: t.Final = 1.0
 
@@ -43,11 +46,11 @@
 async def take_over(
     store: Store, epoch: int, by: str
 ) -> EpochClaim | Fenced | NumberTaken | StoreUnavailable:
-    """Raise the epoch at the store.
+    """Claim an epoch at the store.
 
-    :param by: the life of this process.
-    :returns: ``EpochClaim`` if this process decides now; ``NumberTaken`` if an earlier life
-        of it has decided in this epoch.
+    :param by: the incarnation of this process.
+    :returns: ``EpochClaim`` if this process is the leader now; ``NumberTaken`` if an
+        earlier incarnation of it has led in this epoch.
     """
     records = (EpochClaim.record(epoch, by),)
     writer = Writer(epoch, 1)
@@ -58,7 +61,11 @@
 
 
 class StateUnavailable(t.NamedTuple):
-    """This process can't go on from what its predecessor left."""
+    """The predecessor's state can't be read, so this process can't lead.
+
+    :param pages: number of pages that were read.
+    :param records: number of records on them.
+    """
 
     reason: str
     pages: int = 0
@@ -66,18 +73,19 @@
 
 
 class StateReader:
-    """Reads what a predecessor left; no other can write meanwhile."""
+    """Reads a predecessor's records; the claim keeps others from writing meanwhile."""
 
     def __init__(self, store: Store, claim: EpochClaim, log: NodeLog) -> None:
         self._store = store
         self._claim = claim
         self._log = log
-        # Since when readings have had the same fault, and which.
+        # The fault that all latest reads had in common, and since when.
         self._fault: IncompleteRead | None = None
         self._fault_since = 0.0
 
     async def run(self) -> NewestRecords | StateUnavailable:
-        """Return the records once they are proved to be whole, or are lost."""
+        """Return the records once they are proved to be complete, or what they lack
+        counts as lost."""
         while True:
             read = await self._read()
             if isinstance(read, StateUnavailable):
@@ -95,7 +103,7 @@
             await anyio.sleep(READ_RETRY_INTERVAL_S)
 
     def _is_lost(self, fault: IncompleteRead, now: float) -> bool:
-        """Say whether what a reading lacks has been missing for too long."""
+        """Return whether the missing records have been missing for too long."""
         if fault != self._fault:
             self._fault, self._fault_since = fault, now
         fault_age_s = now - self._fault_since
@@ -107,7 +115,7 @@
         )
 
     async def _read(self) -> NewestRecords | StateUnavailable:
-        """Read all pages, those again that fail."""
+        """Read all pages; pages that fail are read again."""
         reader = NewestReader(self._store, JOBS_TOPIC, self._claim.end)
         pages, attempts, since = 0, 0, time.monotonic()
         while True:
