--- a/src/granitetrestle/boxhealth.py
+++ b/src/granitetrestle/boxhealth.py
@@ -1,4 +1,4 @@
-"""Quarantine of boxes that fail the tasks they start: they get no new work for a while."""
+"""Quarantine of boxes that fail what they start: they get no new work for a while."""
 
 import typing as t
 
--- a/src/granitetrestle/boxpoller.py
+++ b/src/granitetrestle/boxpoller.py
@@ -147,7 +147,7 @@
             )
 
     async def _poll(self) -> PollParameters | None:
-        """Poll once; return the parameters used, or ``None`` if the box has been removed."""
+        """Poll once; return the parameters used, or ``None`` if the box is gone."""
         box = self._scheduler.state.boxes.get(self._incarnation)
         if box is None:
             return None
@@ -286,8 +286,8 @@
     async def _send_once(
         self, send: t.Callable[[], t.Awaitable[CommandOutcome]], priority: int
     ) -> CommandOutcome:
-        # A stop is final whoever leads, and a pace starts nothing; a start needs proof that
-        # this process still leads.
+        # A stop is final whoever leads, and a pace starts nothing; a start needs proof
+        # that this process still leads.
         needs_leader_lease = priority != URGENT
         while True:
             if needs_leader_lease:
--- a/src/granitetrestle/commandwindow.py
+++ b/src/granitetrestle/commandwindow.py
@@ -41,8 +41,8 @@
 # may still reorder them and has reserved no capacity on boxes for them.
 MAX_QUEUE_WINDOWS: t.Final = 2
 # A command waits about this many times for the event loop of this process. Without this
-# term a leader that is busy with many boxes takes its own delay for the link's, and tasks
-# wait although boxes are free.
+# term a leader that is busy with many boxes takes its own delay for the link's, and
+# tasks wait although boxes are free.
 LOOP_LAG_FACTOR: t.Final = 4.0
 # The interval makes the window shrink once, not repeatedly, for each queue it caused.
 SHRINK_FACTOR: t.Final = 0.7
@@ -206,7 +206,7 @@
 
     @property
     def size(self) -> int:
-        """More than there are ever commands."""
+        """More commands than there ever are."""
         return UNLIMITED_WINDOW_SIZE
 
 
--- a/src/granitetrestle/feeds.py
+++ b/src/granitetrestle/feeds.py
@@ -1,5 +1,6 @@
-"""What a decider goes on reading from the store: what operators ask, and the list of
-boxes. Both are read anew as a whole where the store has dropped what came since."""
+"""Feeds that a leader reads continuously from the store: the configuration and
+operators' directives, and the list of boxes. A feed is reloaded as a whole if the store
+has dropped the records at its offset."""
 
 import abc
 import time
@@ -31,11 +32,11 @@
 
 __all__ = ["BoxFeed", "OperatorFeed", "Sources"]
 
-# Boxes write every second or two; a change of theirs should be seen well within
-# the two seconds that a leaving box may still be given work.
+# Boxes write every 1 to 2 s. A change must be seen well within the 2 s in which a
+# leaving box may still be given tasks.
 BOX_LIST_INTERVAL_S: t.Final = 0.4
 CONFIG_READ_WAIT_S: t.Final = 0.8
-# Nothing is decided for clients on a configuration that was confirmed longer ago.
+# Nothing is decided for clients on a configuration that was read longer ago.
 MAX_CONFIG_AGE_S: t.Final = 1.8
 RETRY_INTERVAL_S: t.Final = 0.1
 
@@ -43,10 +44,11 @@
 
 
 class Sources(t.NamedTuple):
-    """Where a session reads from, and how records there are decoded.
+    """Where a session reads from, and how the records are decoded.
 
-    :param decode_operator: returns what operators ask under a key, or ``None`` if the
-        record is about something else; raises ``MalformedDirective`` for what can't be read.
+    :param decode_operator: returns the configuration or the directive that a record
+        holds, or ``None`` if it is about something else; raises ``MalformedDirective``
+        if it can't be read.
     """
 
     store: Store
@@ -59,9 +61,9 @@
 
 
 class _Feed(abc.ABC):
-    """One topic that is read on and on.
+    """Reads one topic continuously.
 
-    :param apply: carries out what the decider makes of it.
+    :param apply: carries out the scheduler's decisions.
     """
 
     def __init__(
@@ -71,19 +73,19 @@
         self._scheduler = scheduler
         self._apply = apply
         self._log = log
-        # Offset at which to read on.
+        # Offset to read from next.
         self._next_offset = 0
 
     @abc.abstractmethod
     def load(self, newest: NewestRecords) -> None:
-        """Take up all there is."""
+        """Load the newest records of the topic."""
 
     @abc.abstractmethod
     async def follow(self) -> None:
-        """Read on until cancelled."""
+        """Read new records until cancelled."""
 
     async def _reload(self, topic: str) -> NewestRecords | None:
-        """Return all there is, or ``None`` if it can't be read, which is logged."""
+        """Return the newest records, or ``None`` if they can't be read (logged)."""
         outcome = await read_newest(self._sources.store, topic, self._next_offset)
         if isinstance(outcome, NewestUnavailable):
             self._log.event("topic_unread", topic=topic, **outcome._asdict())
@@ -99,7 +101,7 @@
     ) -> None:
         super().__init__(sources, scheduler, apply, log)
         self._read_at = -1e9
-        # Data halls about which an order can't be read.
+        # Data halls with a directive that can't be read.
         self._unreadable: set[str] = set()
 
     @property
@@ -109,12 +111,12 @@
 
     @property
     def fresh(self) -> bool:
-        """Whether what operators ask was read of late."""
+        """Whether configuration and directives were read recently."""
         return steadyclock.now() - self._read_at < MAX_CONFIG_AGE_S
 
     @property
     def unreadable(self) -> int:
-        """How many orders can't be read."""
+        """How many data halls have a directive that can't be read."""
         return len(self._unreadable)
 
     def load(self, newest: NewestRecords) -> None:
@@ -131,7 +133,8 @@
             if isinstance(outcome, RecordsGone):
                 outcome = await self._reload(topic)
             if outcome is None or isinstance(outcome, StoreUnavailable):
-                # The next answer should come at once: starts are held without news.
+                # Starts are held back until the store answers, so the next read must
+                # not wait for a record.
                 wait_s = 0.0
                 await anyio.sleep(RETRY_INTERVAL_S)
                 continue
@@ -139,7 +142,8 @@
             wait_s = CONFIG_READ_WAIT_S
 
     def _apply_records(self, outcome: NewestRecords | Records) -> None:
-        """Put what operators ask in force; the newest of all keys are all there is."""
+        """Put configuration and directives in force; :class:`.NewestRecords` replace
+        all earlier directives."""
         self._next_offset = outcome.end
         directives, unreadable = self._decode(outcome.records)
         evacuation, now = self._scheduler.evacuation, time.monotonic()
@@ -156,8 +160,8 @@
     def _decode(
         self, records: t.Iterable[Record]
     ) -> tuple[list[HallDirective], set[str]]:
-        """Put configurations in force; returns the orders about halls, and the halls
-        about which an order can't be read."""
+        """Put configurations in force; return the directives about data halls, and the
+        halls whose directive can't be read."""
         directives: list[HallDirective] = []
         unreadable: set[str] = set()
         for record in records:
@@ -181,9 +185,9 @@
         self, sources: Sources, scheduler: Scheduler, apply: Apply, log: NodeLog
     ) -> None:
         super().__init__(sources, scheduler, apply, log)
-        # By their keys: a life that begins under the id of another takes its place.
+        # By key: an incarnation that starts under the id of another replaces it.
         self._entries: dict[str, BoxEntry] = {}
-        # Keys of entries that name no box to use, as was said.
+        # Keys of entries that name no usable box, as already logged.
         self._rejected_keys: set[str] = set()
 
     def __len__(self) -> int:
@@ -194,7 +198,7 @@
         run_to_completion(self.loading(newest))
 
     def loading(self, newest: NewestRecords) -> SlicedWork[None]:
-        """Take up all there is, a box at a step."""
+        """Load the newest records, one entry in each step."""
         self._next_offset = newest.end
         yield from self._applying_records(newest.records)
 
@@ -234,7 +238,7 @@
         self._apply((yield from fleet.update_boxes_in_slices(self._usable(), now)))
 
     def _usable(self) -> dict[str, BoxEntry]:
-        """Return the boxes that are in use, or of a service that is configured, by life."""
+        """Return boxes in use or of a configured service, by incarnation."""
         config = self._scheduler.state.config
         if config is None:
             return {entry.incarnation: entry for entry in self._entries.values()}
--- a/src/granitetrestle/interfaces.py
+++ b/src/granitetrestle/interfaces.py
@@ -1,5 +1,5 @@
-"""Interfaces to the platform: a durable store, which also holds the configuration, boxes
-that run tasks under leases, and an advisor on placement.
+"""Interfaces to the platform: a durable store (of the configuration, too), boxes that
+run tasks under leases, and an advisor on placement.
 
 Each is an abstract base class; :mod:`.platform` implements it for the platform, the
 stand-ins for the tests. Every outcome has a type of its own, so that callers can tell
@@ -165,7 +165,7 @@
     async def read(
         self, topic: str, start: int, wait_s: float
     ) -> Records | RecordsGone | StoreUnavailable:
-        """Return the records from ``start`` on; wait up to ``wait_s`` if there is none."""
+        """Return the records from ``start`` on; wait for one up to ``wait_s``."""
 
 
 class BoxEntry(t.NamedTuple):
--- a/src/granitetrestle/looplag.py
+++ b/src/granitetrestle/looplag.py
@@ -30,8 +30,8 @@
 
     @property
     def stalled_until(self) -> float:
-        """When the last stall of this process ended, on its clock. It is now if the loop
-        has stalled since the last sample."""
+        """When the last stall of this process ended, on its clock: now, if the loop has
+        stalled since the last sample."""
         now = self._clock()
         return (
             now if now - self._sampled_at > STALL_THRESHOLD_S else self._stalled_until
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -1,5 +1,6 @@
-"""One term of office of a shard's decider: reads what its predecessor wrote, adopts
-the boxes, and carries out the reducer's decisions until a newer epoch is met."""
+"""Leadership of a shard for one epoch: restores the state that the predecessor wrote,
+adopts the boxes, and carries out the scheduler's decisions until a newer epoch appears.
+"""
 
 import time
 import typing as t
@@ -63,19 +64,18 @@
 
 __all__ = ["Session", "Sources"]
 
-# A store that has not answered for so long is away: new work is refused.
+# A store that has not answered for longer counts as unavailable: new jobs are refused.
 STORE_UNAVAILABLE_AFTER_S: t.Final = 0.5
-# An answer may rest on being the decider if that was confirmed so recently.
+# Answers to clients rest on a leader lease that was confirmed at most this long ago.
 MAX_CONFIRMATION_AGE_S: t.Final = 0.6
 RETRY_INTERVAL_S: t.Final = 0.1
-# How often a decider says how loaded it is.
 LOAD_LOG_INTERVAL_S: t.Final = 5.0
 
 
 class Session:
     """Decides for a shard in one epoch.
 
-    :param taken: the epoch, as it was raised.
+    :param claim: claim of the epoch that this session leads in.
     """
 
     def __init__(
@@ -99,8 +99,8 @@
             claim.epoch,
             self._decide,
             self._apply_durable,
-            # Being the decider is a right: while this machine slept another may have
-            # taken over, and an answer would rest on what was confirmed before.
+            # Counts the time in which this machine is suspended: another process may
+            # take over meanwhile, so earlier confirmations must not support answers.
             steadyclock.now,
             self._append_unanswered,
             self._append_not_kept,
@@ -124,7 +124,7 @@
         self._callers: dict[str, _Caller] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
         self._over = False
-        # The newest epoch that others are known to follow.
+        # Newest epoch that other processes are known to follow.
         self._newest_epoch = claim.epoch
         self._store_lost_at: float | None = None
 
@@ -134,7 +134,7 @@
         return self._epoch
 
     def load(self, now: float) -> dict[str, float]:
-        """Return what waits, and how far behind this process is."""
+        """Return the lengths of queues, and how far behind this process is."""
         entries = self._scheduler.state.waiting.values()
         waiting = count_waiting_tasks(entries, now)
         causes = self._scheduler.long_running_waits.causes
@@ -162,17 +162,17 @@
 
     @property
     def scheduler(self) -> Scheduler:
-        """The reducer."""
+        """The scheduler of this session."""
         return self._scheduler
 
     @property
     def over(self) -> bool:
-        """Whether this process decides no more: requests belong to the successor."""
+        """Whether this session has ended: requests belong to the successor."""
         return self._over
 
     @property
     def store_unavailable(self) -> bool:
-        """Whether the store has not taken an append for a while."""
+        """Whether an append has waited too long for the store."""
         since = self._journal.status.waiting_since
         return (
             since is not None and steadyclock.now() - since > STORE_UNAVAILABLE_AFTER_S
@@ -180,14 +180,14 @@
 
     @property
     def retry_after_s(self) -> int:
-        """When a client that is refused should come back."""
+        """Seconds after which a refused client should retry."""
         since = self._journal.status.waiting_since
         away_s = 0.0 if since is None else steadyclock.now() - since
         return self._retry_after.after_s(away_s)
 
     @property
     def serving(self) -> bool:
-        """Whether clients can be answered: configuration known and fresh."""
+        """Whether clients can be answered: the configuration is known and fresh."""
         known = self.config is not None and self._operator_feed.fresh
         return known and not self._over
 
@@ -213,7 +213,7 @@
                 caller.changed.set()
 
     async def _take_over(self) -> bool:
-        """Read what a predecessor left; no other can write meanwhile."""
+        """Restore the predecessor's state; no other process can write meanwhile."""
         started = time.monotonic()
         read = await self._read_all()
         if read is None:
@@ -242,7 +242,7 @@
         return True
 
     async def _read_all(self) -> dict[str, NewestRecords] | None:
-        """Return the newest records of each topic, or ``None`` if they can't be read."""
+        """Return the newest records of each topic, or ``None`` if unreadable."""
         read: dict[str, NewestRecords] = {}
         store = self._sources.store
         state = StateReader(store, self._claim, self._log)
@@ -320,7 +320,7 @@
         return self._scheduler.take_writes()
 
     def _apply(self, decisions: list[Decision]) -> None:
-        """Carry out decisions, or hold them back until they are durable."""
+        """Carry out decisions, or hold the gated ones until they are durable."""
         for decision in decisions:
             if isinstance(decision, GATED):
                 self._journal.hold(decision)
@@ -369,7 +369,7 @@
         self._tasks.start_soon(function, *args)
 
     async def _advise(self, asked: AskAdvice) -> None:
-        advice: Advice | AdviceUnavailable = AdviceUnavailable("no service is known")
+        advice: Advice | AdviceUnavailable = AdviceUnavailable("no advisor is set")
         if self._sources.advisor is not None:
             step = f"{asked.job}.{asked.occurrence}.{asked.step}"
             advice = await self._sources.advisor.advise(step, asked.incarnations)
@@ -404,7 +404,7 @@
     async def call(self, request: str, call: JobCall) -> JobOutcome:
         """Decide on a client's call; the answer is durable.
 
-        :raises Deposed: if this session ended first; the call may have been taken.
+        :raises Deposed: if this session ended first; the call may have been accepted.
         """
         if self._over:
             raise Deposed
@@ -420,18 +420,18 @@
         return caller.outcome
 
     def observe_epoch(self, epoch: int) -> None:
-        """Learn that other processes follow an epoch: a newer one must be ruled out by
-        the store before anything leaves."""
+        """Record that other processes follow an epoch. If it is newer, the store must
+        confirm the leader lease before anything else is sent."""
         if epoch > self._newest_epoch:
             self._newest_epoch = epoch
             self._log.event("newer_epoch_heard", epoch=self._epoch, heard=epoch)
             self._leader_lease.invalidate()
 
     async def confirm(self) -> bool:
-        """Return once this process is proved to decide still, or false as soon as the
-        store is away, so that nobody waits for what can't be answered.
+        """Return true once the leader lease is confirmed, or false as soon as the store
+        is unavailable, so that no client waits for an answer that can't be given.
 
-        :raises Deposed: if it does not decide any more.
+        :raises Deposed: if this session has ended.
         """
         if self._leader_lease.is_confirmed_within(MAX_CONFIRMATION_AGE_S):
             return True
@@ -446,13 +446,13 @@
         return True
 
     async def drain(self) -> None:
-        """Return once all that was decided is durable and its effects are out."""
+        """Return once all decisions are durable and carried out."""
         while not self._journal.idle and not self._over:
             await anyio.sleep(RETRY_INTERVAL_S / 10)
 
 
 class _Caller:
-    """Somebody waiting for the outcome of a call."""
+    """A request that waits for the outcome of its call."""
 
     __slots__ = ("changed", "outcome")
 
--- a/src/granitetrestle/submissions.py
+++ b/src/granitetrestle/submissions.py
@@ -1,6 +1,8 @@
-"""Changes that a caller or operator waits for: acknowledged only once their
-record was read back from the log, refused as not run only while it provably
-never left, and unknown otherwise."""
+"""Submitted changes whose caller or operator waits for the outcome.
+
+A change is acknowledged only once its record was read back from the log, refused as not
+run only if the record provably never left, and reported as unknown otherwise.
+"""
 
 import typing as t
 
@@ -38,7 +40,7 @@
         return len(self._pending) + len(self._withdrawing)
 
     def submit(self, request: str, stream: str, fact: Fact, now: float) -> list[Effect]:
-        """Put a change on its way to the log."""
+        """Append a change to the log, or refuse it if too many wait."""
         if len(self) >= MAX_PENDING_SUBMISSIONS:
             busy = NotRun(Reason.OVERLOADED, RETRY_AFTER_S)
             return [Conclude(request, busy)]
@@ -46,7 +48,7 @@
         return [AppendFacts(stream, (fact,), request)]
 
     def read_back(self, request: str, outcome: Outcome) -> list[Effect]:
-        """Conclude a change whose record stands on the log."""
+        """Conclude a change whose record was read back from the log."""
         if not self._remove(request):
             return []
         return [Conclude(request, outcome)]
@@ -58,11 +60,11 @@
         return self._pending.pop(request, None) is not None
 
     def tick(self, now: float) -> list[Effect]:
-        """Take back what has waited too long."""
+        """Withdraw changes that have waited too long."""
         effects: list[Effect] = []
         for request, pending in list(self._pending.items()):
             if now < pending.times_out_at:
-                # In order of arrival, so the first that may wait ends the look.
+                # In order of arrival: the later ones have not timed out either.
                 break
             del self._pending[request]
             self._withdrawing.add(request)
@@ -70,7 +72,7 @@
         return effects
 
     def withdrawn(self, event: FactsWithdrawn) -> list[Effect]:
-        """Conclude a change that was taken back, or could not be."""
+        """Conclude a change that was withdrawn, or that could not be."""
         if not self._remove(event.request):
             return []
         if event.unsent:
