--- a/src/granitetrestle/pollbudget.py
+++ b/src/granitetrestle/pollbudget.py
@@ -1,8 +1,8 @@
 """Budget for polls of boxes, by connections and by rate.
 
 A long poll, which waits for the end of a run, holds a connection, and opening one costs
-a handshake. Without a budget, with ten boxes for each scheduler process, a leader ran out
-of descriptors and ended, and so did each successor.
+a handshake. Without a budget, with ten boxes for each scheduler process, a leader ran
+out of descriptors and ended, and so did each successor.
 
 So polls are long only while connections are free. Beyond that, idle boxes are polled at
 a low rate, and busy ones at short intervals. Contact polls (the first one of a box, and
@@ -21,8 +21,8 @@
 __all__ = ["PollBudget", "PollParameters"]
 
 # Shares of a process's connections: up to the first one, idle boxes get long polls; up
-# to the second, busy ones do. The rest is for commands (256 at once), peers (up to three
-# descriptors each) and clients.
+# to the second, busy ones do. The rest is for commands (256 at once), peers (up to
+# three descriptors each) and clients.
 MAX_IDLE_CONNECTION_SHARE: t.Final = 0.1
 MAX_CONNECTION_SHARE: t.Final = 0.4
 # Without long polls, the end of a task is seen later by up to this time.
