--- a/features/steps/ends_steps.py
+++ b/features/steps/ends_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over boxes that list more ends than fit one answer."""
+"""Steps for boxes with more ends than fit one answer."""
 
 import collections
 import json
@@ -22,7 +22,7 @@
 
 
 @when(
-    "{count:d} tasks begin on it, their decider dies, "
+    "{count:d} tasks start on it, the leader dies, "
     "and another takes over after {seconds:g} seconds"
 )
 def decider_dies(context, count, seconds):
@@ -33,14 +33,14 @@
     world.take_over()
 
 
-@when("{count:d} tasks begin on it, and it is cut off for {seconds:g} seconds")
+@when("{count:d} tasks start on it, and it is cut off for {seconds:g} seconds")
 def cut_off(context, count, seconds):
     begin(context, count)
     context.world.cut_box(0, seconds)
     context.world.advance(seconds)
 
 
-@then("each of its tasks began once")
+@then("each of its tasks started once")
 def began_once(context):
     began = collections.Counter(
         run.task for box in context.world.boxes.values() for run in box.history
@@ -58,7 +58,7 @@
 
 
 class AnsweringBox(Caller):
-    """A box that answers each look alike."""
+    """A box that gives each poll the same answer."""
 
     def __init__(self, answer):
         super().__init__()
@@ -68,7 +68,7 @@
         return Reply(200, (), self.answer)
 
 
-@when("a box answers a look with {count:d} ends")
+@when("a box answers a poll with {count:d} ends")
 def answers_with(context, count):
     rows = [[n, f"{'a' * 16}.0.0.{n}", 1, "done", ""] for n in range(1, count + 1)]
     answer = {"clock_ms": 1, "running": [], "finished": rows}
--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over the index of boxes."""
+"""Steps for the index of boxes."""
 
 import random
 
@@ -42,10 +42,10 @@
 
 
 class TwinSchedulers:
-    """The same work and the same boxes for a decider with the index and one without.
+    """Two schedulers, one with the index and one without, with equal work and boxes.
 
-    What boxes do depends only on the orders, so both see the same as long as they
-    order the same.
+    The boxes depend on the commands alone, so both schedulers get the same events as
+    long as they give the same commands.
     """
 
     def __init__(self, seed):
@@ -98,7 +98,7 @@
             scheduler.fleet.update_boxes(dict(self.entries), self.now)
 
     def both(self, call):
-        """Give both the same; what they decide must be the same."""
+        """Make the same call to both, and check that they give the same commands."""
         first, second = (call(scheduler) for scheduler in self.schedulers)
         wanted = (StartTask, StopTask, AskAdvice)
         commands = [
@@ -249,14 +249,16 @@
         self.both(lambda scheduler: scheduler.decide(self.now, wall))
 
 
-@then("in {count:d} random shards of up to 24 boxes both ways give the same orders")
+@then(
+    "in {count:d} random shards of up to 24 boxes both searches give the same commands"
+)
 def same_orders(context, count):
     started = []
 
     @settings(max_examples=count, deadline=None, derandomize=True, database=None)
-    # The first two differed: a box that took a task for a step that had nothing running
-    # for too long counted as before for the step's other tasks. In the third a box that
-    # took a gang counted as before for what was placed after it.
+    # In the first two the commands differed: after a box had taken a task of a step that
+    # was starved, it was ranked as before for the step's other tasks. In the third, a box
+    # that had taken a gang was ranked as before for the tasks placed after it.
     @example(651)
     @example(745)
     @example(783)
@@ -272,7 +274,7 @@
 
 
 class CountedCalls:
-    """Counts how often boxes are asked whether they suit."""
+    """Counts how often boxes are checked for whether they are eligible."""
 
     def __init__(self):
         self.calls = 0
@@ -284,7 +286,7 @@
 
 
 @given(
-    "deciding was measured at {few:d} and at {many:d} boxes with as much work for each"
+    "scheduling is measured with {few:d} and with {many:d} boxes, with equal work per box"
 )
 def measured(context, few, many):
     context.checks_per_start = []
@@ -297,13 +299,13 @@
         context.checks_per_start.append(counted.calls / (cost.starts_s * 4.0))
 
 
-@then("a start takes at most {most:g} times as many looks at boxes")
+@then("a start takes at most {most:g} times as many checks of boxes")
 def eligibility_checks(context, most):
     few, many = context.checks_per_start
     assert many <= most * few, context.checks_per_start
 
 
-@given("a box of 8 GB on which work that fills waits for 1.6 seconds for quiet")
+@given("a box of 8 GB for which a second best-effort task has waited for 1.6 seconds")
 def waits_for_quiet(context):
     scheduler = context.scheduler = Scheduler(SchedulerParameters(), 50.0)
     scheduler.apply_config(Config(1, QUEUES, {"pool": True}, 262144))
@@ -334,14 +336,14 @@
     return [item.task for item in decisions if isinstance(item, StartTask)]
 
 
-@when("a gang is handed in that goes first and takes 4 GB")
+@when("a gang of higher priority that takes 4 GB is submitted")
 def gang_first(context):
     gang = Step(count=2, cpu=1000, memory_mb=2000, gang=True)
     submit_step(context.scheduler, "c", "q", gang)
     context.started = starts_of(context.scheduler.decide(51.8, 51_800))
 
 
-@then("the gang begins, and what needs 5 GB waits on")
+@then("the gang starts, and the task that needs 5 GB goes on waiting")
 def gang_alone(context):
     gang = [f"{'c' * 16}.0.0.{index}" for index in range(2)]
     assert sorted(context.started) == gang, context.started
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over what a decider makes of the lives of a box."""
+"""Steps for how a scheduler tracks the incarnations of a box."""
 
 import json
 
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over what is written of jobs."""
+"""Steps for the records of jobs in the store."""
 
 import msgspec
 from behave import given
@@ -23,7 +23,7 @@
 
 
 def written_bytes(count):
-    """Bytes for a job whose tasks run one after the other on one box."""
+    """Return the bytes written for a job whose tasks run one by one on one box."""
     load = Load(1, 1)
     load.scheduler = Scheduler(SchedulerParameters(), load.now)
     total = 0
@@ -52,7 +52,7 @@
 
 
 @given(
-    "the bytes written for jobs of {few:d} and of {many:d} tasks that run one after the other"
+    "the bytes written for jobs of {few:d} and of {many:d} tasks that run one by one"
 )
 def bytes_written(context, few, many):
     context.written = written_bytes(few), written_bytes(many)
@@ -80,14 +80,16 @@
     return [record for record in newest if job in record.key]
 
 
-@then("one record of at most {most:d} bytes is left of it")
+@then("one record of at most {most:d} bytes remains of it")
 def one_record(context, most):
     left = records_of(context, context.job)
     assert len(left) == 1, [record.key for record in left]
     assert len(left[0].key) + len(left[0].value) <= most, left
 
 
-@then("a successor tells that it is {state} and hands it in again as the same job")
+@then(
+    "a successor reports it as {state} and treats a second submission as the same job"
+)
 def successor_tells(context, state):
     world = context.world
     world.take_over()
@@ -99,7 +101,9 @@
     assert workflows[context.job].state == state
 
 
-@given("a job of 40 tasks half of which are done, written as an older version did")
+@given(
+    "a job of 40 tasks, half of which are done, in the record format of an older version"
+)
 def older_form(context):
     world = context.world
     world.kill()
@@ -126,7 +130,7 @@
     world.leader.epoch = epoch
 
 
-@when("deciders take over and die after {count:d} appends each, {times:d} times")
+@when("leaders take over and die after {count:d} appends each, {times:d} times")
 def take_over_and_die(context, count, times):
     world = context.world
     for _ in range(times):
@@ -139,7 +143,7 @@
 
 @then("each task that was done stays done, and the job completes")
 def stays_done(context):
-    # The world itself raises when a task that was done begins again.
+    # The world itself raises when a task that was done starts again.
     context.world.settle(60.0)
     assert (
         context.world.leader.scheduler.state.workflows[context.job].state == "completed"
@@ -147,7 +151,7 @@
 
 
 @when(
-    "two jobs run, a record of the first one's tasks is overwritten, "
+    "two jobs run, a record of the first job's tasks is overwritten, "
     "and a successor takes over"
 )
 def overwritten(context):
@@ -164,7 +168,7 @@
     world.leader.epoch = epoch
     context.ran_before = starts(context)
     context.noted = []
-    # What a session logs of a take-over.
+    # The events that a session logs at a take-over.
     restored = Scheduler(SchedulerParameters(), world.now).restore(
         world.store.newest(JOBS).records, world.now
     )
@@ -187,7 +191,7 @@
     assert context.key in note.inputs["error"]
 
 
-@then("the second job completes while nothing new of the first is started")
+@then("the second job completes while no further task of the first starts")
 def second_completes(context):
     world = context.world
     state = world.leader.scheduler.state
@@ -198,9 +202,7 @@
     assert starts(context) == context.ran_before
 
 
-@when(
-    "a job that lasts runs and is cancelled, and the decider dies before any stop is sent"
-)
+@when("a long-running job is cancelled, and the leader dies before any stop is sent")
 def cancelled_then_dies(context):
     world = context.world
     # Tasks whose index ends in 2 run for five seconds.
@@ -217,7 +219,7 @@
     world.take_over()
 
 
-@then("its successor stops all of it within a second")
+@then("its successor stops all its tasks within a second")
 def stops_all(context):
     world = context.world
     world.advance(1.0)
@@ -228,7 +230,7 @@
 
 
 @when(
-    "a gang of 20 is done, the decider writes that and dies before it starts the next step"
+    "a gang of 20 is done, the leader writes that and dies before starting the next step"
 )
 def gang_done(context):
     world = context.world
@@ -258,7 +260,7 @@
     restored.restore(world.store.newest(JOBS).records, world.now)
 
 
-@then("its successor knows all 20 as done, and starts only the next step")
+@then("its successor restores all 20 as done, and enqueues only the next step")
 def knows_gang(context):
     workflow = context.successor.state.workflows[context.job]
     states = {task.state for task in workflow.step_tasks(0, 0)}
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over the decider among models, in virtual time."""
+"""Steps for a scheduler with model boxes and a model store, in virtual time."""
 
 from behave import given
 from behave import then
@@ -36,8 +36,8 @@
 
 
 @then(
-    "{count:d} random runs of a shard keep one place, one success, order, "
-    "attempts and every job"
+    "{count:d} random runs of a shard keep one place and one success for each task, "
+    "the order of steps, the attempts and every job"
 )
 def random_runs(context, count):
     run_shard_machine(examples=count, steps=40)
@@ -50,8 +50,8 @@
 
 
 @when(
-    "the store is away, a job is handed in, and its box is cut off until its "
-    "lease is over"
+    "the store is unavailable, a job is submitted, and its box is cut off until its "
+    "lease has expired"
 )
 def store_and_box_away(context):
     world = context.world
@@ -64,7 +64,9 @@
     world.advance(4.9)
 
 
-@when("the store is away, a job is handed in and cancelled, and the store is back")
+@when(
+    "the store is unavailable, a job is submitted and cancelled, and the store is back"
+)
 def cancelled_while_away(context):
     world = context.world
     world.store_down = True
@@ -76,7 +78,7 @@
     world.advance(1.0)
 
 
-@then("nothing of the job ever ran")
+@then("no task of the job ever ran")
 def nothing_ran(context):
     assert not runs(context), runs(context)
     assert state(context, context.job) == "cancelled"
@@ -112,7 +114,7 @@
     assert state(context, context.job) == "completed"
 
 
-@when("a decider freezes, a successor starts a job, and the old one wakes up")
+@when("the leader is suspended, a successor starts a job, and the old leader resumes")
 def freeze(context):
     world = context.world
     old = world.leader
@@ -126,14 +128,14 @@
     context.old = old
 
 
-@then("the old one has stepped down, and each task ran once")
+@then("the old leader has stepped down, and each task ran once")
 def stepped_down(context):
     assert context.old.over
     mine = [how for task, _, how in runs(context) if task.startswith(context.job)]
     assert mine == ["done", "done"], runs(context)
 
 
-@when("every run fails and a job is handed in")
+@when("a job is submitted and all its runs fail")
 def all_fail(context):
     context.world.fail_share = 1.1
     context.job = context.world.submit((Step(count=1, cpu=100, memory_mb=10),))
@@ -163,7 +165,7 @@
     assert state(context, context.job) == "cancelled"
 
 
-@when("a job of a queue under advice is handed in, and one box is named as good")
+@when("a job of a queue under advice is submitted, and the advisor names one box")
 def under_advice(context):
     world = context.world
     scheduler = context.scheduler = Scheduler(world.parameters, 0.0)
@@ -185,7 +187,7 @@
     context.effects = scheduler.decide(0.6, 0)
 
 
-@then("both of its tasks were started there, each with the ticket")
+@then("both of its tasks are started there, each with the ticket")
 def with_ticket(context):
     starts = context.effects
     assert len(starts) == 2 and all(isinstance(s, StartTask) for s in starts), starts
@@ -194,9 +196,7 @@
     }
 
 
-@when(
-    "a gang of five that needs more room than there is is handed in, then a box comes"
-)
+@when("a gang of five is submitted for which there is no room, and then a box is added")
 def gang_waits(context):
     world = context.world
     context.job = world.submit((Step(count=5, cpu=1000, memory_mb=10, gang=True),))
@@ -212,7 +212,7 @@
     assert len(began) == 5 and {run for _, run, _ in began} == {1}, began
 
 
-@when("a task ends while the store is away, and then the decider is killed")
+@when("a task ends while the store is unavailable, and then the leader is killed")
 def end_unwritten(context):
     world = context.world
     context.job = world.submit((Step(count=1, cpu=100, memory_mb=10),))
@@ -231,13 +231,13 @@
     assert state(context, context.job) == "completed"
 
 
-@when("the order to start a task gets no answer and is carried out seconds later")
+@when("the start of a task gets no answer and is carried out seconds later")
 def start_late(context):
     world = context.world
     world.late_share = 1.0
     context.job = world.submit((Step(count=3, cpu=100, memory_mb=10),))
-    # The first box by name is chosen, then falls silent: whatever gives the start up
-    # goes on with the other box.
+    # The first box by name is chosen and then cut off. If the start were given up, the
+    # task would be started on the other box.
     world.cut["b1"] = world.now + 0.5
     world.advance(0.05)
     world.late_share = 0.0
@@ -265,7 +265,7 @@
 
 
 @when(
-    "a run fails, its end is written, and the decider is killed before it confirms it"
+    "a run fails, its end is written, and the leader is killed before acknowledging it"
 )
 def failed_unconfirmed(context):
     world = context.world
@@ -276,7 +276,7 @@
         world.advance(0.05)
         if world.leader.scheduler.state.find_task(context.task).failures:
             break
-    # One more step writes the end; the look that would confirm it comes after that.
+    # One more step writes the end; the poll that would acknowledge it comes after that.
     world.advance(0.05)
     (box,) = world.boxes.values()
     assert [row.how for row in box.unconfirmed()] == ["failed"], box.unconfirmed()
@@ -294,7 +294,7 @@
     assert state(context, context.job) == "completed"
 
 
-@when("a job runs on both and the entry of one goes, though it serves on")
+@when("a job runs on both and the entry of one is removed, though it keeps answering")
 def entry_goes(context):
     world = context.world
     context.job = world.submit((Step(count=8, cpu=1000, memory_mb=100),))
@@ -302,7 +302,7 @@
     context.entry = world.entries.pop("b1")
 
 
-@then("the job completes, and what comes later runs on the other box")
+@then("the job completes, and later jobs run on the other box")
 def others_only(context):
     world = context.world
     began_before = len(world.boxes["b1"].history)
@@ -315,7 +315,7 @@
     assert all(how == "done" for _, _, how in runs(context)), runs(context)
 
 
-@then("once its entry is back, it gets work again")
+@then("once its entry is back, it gets tasks again")
 def back_again(context):
     world = context.world
     began_before = len(world.boxes["b1"].history)
@@ -326,7 +326,7 @@
     assert len(world.boxes["b1"].history) > began_before
 
 
-@when("a job that fills is half done and a shorter one waits for the same room")
+@when("a best-effort job is half done and a shorter one waits for the same room")
 def half_done(context):
     first = Step(count=1, cpu=1000, memory_mb=8000, estimate_ms=1000, best_effort=True)
     second = replace(first, depends_on=(0,))
@@ -335,7 +335,7 @@
     context.short = context.world.submit((replace(first, estimate_ms=1500),))
 
 
-@then("the first job is completed before the other begins")
+@then("the first job is completed before the other starts")
 def least_left_first(context):
     context.world.advance(40.0)
     began = {run.task: run.began for run in context.world.boxes["b1"].history}
@@ -343,7 +343,7 @@
 
 
 class NoBox(Packer, Ranking):
-    """Finds that no box bears what fills."""
+    """A packer for which no box tolerates a best-effort task."""
 
     def ranking(self, task, interference, now):
         return self
@@ -352,7 +352,7 @@
         return None
 
 
-@when("a job that fills comes and no box bears it")
+@when("a best-effort job is submitted and no box tolerates it")
 def no_box_bears(context):
     scheduler = context.world.leader.scheduler
     scheduler.dispatcher.packer = NoBox()
@@ -369,7 +369,7 @@
     assert len(runs(context)) == 1, runs(context)
 
 
-@when("a long job runs, its box begins to leave and a successor takes over")
+@when("a long job runs, its box starts to drain and a successor takes over")
 def leaving_at_take_over(context):
     world = context.world
     step = Step(
@@ -384,7 +384,7 @@
     world.take_over()
 
 
-@then("its run there is stopped, and another begins on the other box")
+@then("its run there is stopped, and another starts on the other box")
 def runs_elsewhere(context):
     context.world.advance(1.5)
     hows = {
@@ -403,7 +403,9 @@
     del world.entries[task.box]
 
 
-@when("a lasting task runs, a successor takes over, and the box goes dark for good")
+@when(
+    "a long-running task runs, a successor takes over, and the box is cut off for good"
+)
 def dark_after_take_over(context):
     task = lasting_task(context)
     context.world.take_over()
@@ -411,7 +413,7 @@
     lose_box(context, task)
 
 
-@then("it runs on another box within {seconds:g} seconds, as if nobody had taken over")
+@then("it runs on another box within {seconds:g} seconds, as without a take-over")
 def runs_elsewhere(context, seconds):
     world = context.world
     others = [world.boxes[incarnation] for incarnation in world.entries]
--- a/features/steps/unwell_steps.py
+++ b/features/steps/unwell_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenario over a stop that a box refused as unwell."""
+"""Steps for a stop that a box rejects as unhealthy."""
 
 from behave import given
 from behave import then
@@ -52,7 +52,7 @@
 
 
 def poll_box(context, now):
-    """Look at the box, which shows nothing; returns what is decided then."""
+    """Poll the box, which lists nothing, and return the decisions after it."""
     scheduler = context.scheduler
     effects = scheduler.fleet.handle_poll_outcome(
         "b1", now, now, PollResult(int(now * 1000), (), ())
@@ -60,21 +60,21 @@
     return [*effects, *scheduler.decide(now, int(now * 1000))]
 
 
-@when("the box refuses the stop as unwell, and a look shows nothing of the task")
+@when("the box rejects the stop as unhealthy, and polls do not list the task")
 def refuses(context):
     start, refused = context.start, CommandRejected("unhealthy")
     context.scheduler.handle_stop_outcome("b1", start.task, start.run, refused, 0.7)
     context.decisions = [*poll_box(context, 0.8), *poll_box(context, 1.5)]
 
 
-@then("the task is not started again, and the stop is given again")
+@then("the task is not started again, and the stop is repeated")
 def not_again(context):
     decisions = context.decisions
     assert not any(isinstance(d, StartTask) for d in decisions), decisions
     assert any(isinstance(d, StopTask) for d in decisions), decisions
 
 
-@then("once the box has taken the stop, it is started elsewhere")
+@then("once the box has accepted the stop, the task is started again")
 def then_started(context):
     start, taken = context.start, CommandAccepted(1600)
     context.scheduler.handle_stop_outcome("b1", start.task, start.run, taken, 1.6)
