--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -157,7 +157,7 @@
     def step(self, number):
         draw = self.random
         kind = draw.choice(("short", "fills", "serves", "lasts"))
-        lasting = kind in ("serves", "lasts")
+        long_running = kind in ("serves", "lasts")
         return Step(
             draw.choice((1, 2, 4, 9, 20)),
             draw.choice((500, 2000, 4000, 9000)),
@@ -166,11 +166,11 @@
             draw.choice((300, 1500)),
             depends_on=(number - 1,) if number else (),
             checkpointing=draw.random() < 0.5,
-            gang=not lasting and draw.random() < 0.1,
+            gang=not long_running and draw.random() < 0.1,
             required_labels=draw.choice(((), (), (), ("a",))),
             affinity=draw.choice(("", "", "r1")),
             per_box=draw.choice((0, 0, 1, 2)),
-            long_running=lasting,
+            long_running=long_running,
             image=draw.choice("uvwxyz"),
             target_ms=100.0 if kind == "serves" else 0.0,
             best_effort=kind == "fills",
@@ -306,7 +306,7 @@
 
 
 @given("a box of 8 GB for which a second best-effort task has waited for 1.6 seconds")
-def waits_for_quiet(context):
+def second_best_effort_waits(context):
     scheduler = context.scheduler = Scheduler(SchedulerParameters(), 50.0)
     scheduler.apply_config(Config(1, QUEUES, {"pool": True}, 262144))
     scheduler.evacuation.replace_directives([], (), 50.0)
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -100,7 +100,7 @@
 
 
 @when("a job runs and a successor takes over at once")
-def adopt(context):
+def run_and_take_over(context):
     context.job = context.world.submit(ONE)
     context.world.advance(0.2)
     assert len(runs(context)) == 2, runs(context)
@@ -109,13 +109,13 @@
 
 
 @then("each task ran once, and the job completes")
-def once(context):
+def ran_once(context):
     assert [how for _, _, how in runs(context)] == ["done", "done"], runs(context)
     assert state(context, context.job) == "completed"
 
 
 @when("the leader is suspended, a successor starts a job, and the old leader resumes")
-def freeze(context):
+def suspend_leader(context):
     world = context.world
     old = world.leader
     world.submit(ONE)
@@ -166,7 +166,7 @@
 
 
 @when("a job of a queue under advice is submitted, and the advisor names one box")
-def under_advice(context):
+def submit_under_advice(context):
     world = context.world
     scheduler = context.scheduler = Scheduler(world.parameters, 0.0)
     queue = CONFIG.queues[0]._replace(advised=True)
@@ -295,7 +295,7 @@
 
 
 @when("a job runs on both and the entry of one is removed, though it keeps answering")
-def entry_goes(context):
+def entry_removed(context):
     world = context.world
     context.job = world.submit((Step(count=8, cpu=1000, memory_mb=100),))
     world.advance(0.2)
@@ -316,7 +316,7 @@
 
 
 @then("once its entry is back, it gets tasks again")
-def back_again(context):
+def entry_restored(context):
     world = context.world
     began_before = len(world.boxes["b1"].history)
     world.entries["b1"] = context.entry
@@ -327,7 +327,7 @@
 
 
 @when("a best-effort job is half done and a shorter one waits for the same room")
-def half_done(context):
+def submit_beside_half_done(context):
     first = Step(count=1, cpu=1000, memory_mb=8000, estimate_ms=1000, best_effort=True)
     second = replace(first, depends_on=(0,))
     context.half = context.world.submit((first, second))
@@ -342,7 +342,7 @@
     assert began[f"{context.half}.0.1.0"] < began[f"{context.short}.0.0.0"], began
 
 
-class NoBox(Packer, Ranking):
+class RejectingPacker(Packer, Ranking):
     """A packer for which no box tolerates a best-effort task."""
 
     def ranking(self, task, interference, now):
@@ -353,9 +353,9 @@
 
 
 @when("a best-effort job is submitted and no box tolerates it")
-def no_box_bears(context):
+def no_box_tolerates(context):
     scheduler = context.world.leader.scheduler
-    scheduler.dispatcher.packer = NoBox()
+    scheduler.dispatcher.packer = RejectingPacker()
     step = Step(count=5, cpu=1000, memory_mb=100, estimate_ms=5000, best_effort=True)
     context.job = context.world.submit((step,))
 
@@ -406,7 +406,7 @@
 @when(
     "a long-running task runs, a successor takes over, and the box is cut off for good"
 )
-def dark_after_take_over(context):
+def box_lost_after_take_over(context):
     task = lasting_task(context)
     context.world.take_over()
     context.world.advance(0.2)
