--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -156,8 +156,8 @@
 
     def step(self, number):
         draw = self.random
-        kind = draw.choice(("short", "fills", "serves", "lasts"))
-        long_running = kind in ("serves", "lasts")
+        kind = draw.choice(("short", "best_effort", "serving", "long_running"))
+        long_running = kind in ("serving", "long_running")
         return Step(
             draw.choice((1, 2, 4, 9, 20)),
             draw.choice((500, 2000, 4000, 9000)),
@@ -172,8 +172,8 @@
             per_box=draw.choice((0, 0, 1, 2)),
             long_running=long_running,
             image=draw.choice("uvwxyz"),
-            target_ms=100.0 if kind == "serves" else 0.0,
-            best_effort=kind == "fills",
+            target_ms=100.0 if kind == "serving" else 0.0,
+            best_effort=kind == "best_effort",
         )
 
     def submit(self):
