--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over steps that have waited for long."""
+"""Steps for job steps that have waited for long."""
 
 from behave import given
 from behave import then
@@ -19,12 +19,12 @@
 WIDE = Step(count=20, cpu=500, memory_mb=1, estimate_ms=60_000)
 # Fits on no box.
 HUGE = Step(count=1, cpu=500, memory_mb=90_000, estimate_ms=200)
-# What comes all the time, and goes first.
+# Submitted all the time, and first in the order.
 URGENT = Step(count=1, cpu=10, memory_mb=1, estimate_ms=100)
 
 
 class LimitedScheduler:
-    """A decider that may give few orders in each pass, while urgent work keeps coming."""
+    """A scheduler with a limit of starts in a pass, while urgent jobs are submitted."""
 
     def __init__(self, boxes, max_starts):
         self.now = 0.0
@@ -84,14 +84,16 @@
 
 
 @given(
-    "{boxes:d} boxes with room, and {most:d} orders in each pass for more urgent work"
+    "{boxes:d} boxes with room, and a limit of {most:d} starts in a pass while urgent "
+    "jobs are submitted"
 )
 def limited(context, boxes, most):
     context.limited = LimitedScheduler(boxes, most)
 
 
 @when(
-    "a job that fits nowhere waits for {seconds:g} seconds, and {count:d} others after it"
+    "a job that fits nowhere waits for {seconds:g} seconds, and {count:d} others behind "
+    "it"
 )
 def fits_nowhere(context, seconds, count):
     limited = context.limited
@@ -108,15 +110,15 @@
     limited.run_passes(round(seconds / PASS_S))
 
 
-@then("each of the others has begun")
-@then("each of them has begun")
+@then("each of the others has started")
+@then("each of them has started")
 def each_has_started(context):
     started_at = context.limited.started_at
     missing = [job for job in context.waiting if job not in started_at]
     assert not missing, (len(missing), len(context.waiting))
 
 
-@then("{part:g} of the orders went to what is more urgent")
+@then("{part:g} of the starts went to urgent jobs")
 def rest_is_urgent(context, part):
     limited = context.limited
     starts = sum(job not in context.waiting for job in limited.started_at)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over tasks that crash the boxes that start them."""
+"""Steps for tasks that crash the boxes that start them."""
 
 from behave import given
 from behave import then
@@ -29,8 +29,8 @@
 
 
 @when(
-    "a long job runs, a task that crashes its box starts beside it, and the crash is "
-    "noticed"
+    "a long-running job runs, a task that crashes its box starts beside it, and the "
+    "crash is detected"
 )
 def crash_beside_long_job(context):
     world = context.world
@@ -42,7 +42,7 @@
     world.advance(1.5)
 
 
-@then("a line for each run on that box tells its run, its state and its age")
+@then("a log line for each run on that box holds its number, its state and its age")
 def run_lost_lines(context):
     lines, box = notes(context, "run_lost"), notes(context, "box_over")[0]
     lost = {
@@ -56,7 +56,7 @@
     assert other["seen_s"] > 2.5, other
 
 
-@given("a shard of {boxes:d} boxes among models, at work for several accounts")
+@given("a shard of {boxes:d} boxes among models, with jobs of several accounts")
 def shard_at_work(context, boxes):
     context.world = world = ShardWorld(7, boxes)
     context.long_running = [world.submit((LONG_RUNNING,)) for _ in range(2)]
@@ -71,21 +71,21 @@
 
 
 def all_lose_power(world):
-    """The store alone keeps what it has; it is some seconds until one decides again."""
+    """Only the store keeps its data, and it takes seconds until a process leads again."""
     world.kill()
     world.advance(3.0)
     world.take_over()
 
 
 AFTER_CRASH = {
-    "one process decides": None,
-    "the decider dies after each crash": leader_dies,
+    "one process leads throughout": None,
+    "the leader dies after each crash": leader_dies,
     "its starts are never answered": None,
     "all lose power after each crash": all_lose_power,
 }
 
 
-@when("a task that crashes its box is handed in, and {fault} for {seconds:g} seconds")
+@when("a task that crashes its box is submitted, and {fault} for {seconds:g} seconds")
 def crashing_task(context, fault, seconds):
     world = context.world
     world.box_crashes.unanswered = fault == "its starts are never answered"
@@ -109,7 +109,7 @@
         context.broken = error
 
 
-@then("at most {most:d} boxes have crashed under it, and its job is shown as failed")
+@then("the task has crashed at most {most:d} boxes, and its job is shown as failed")
 def given_up(context, most):
     world = context.world
     crashes = world.box_crashes.counts.get(context.task, 0)
@@ -119,7 +119,7 @@
     assert job.state == "failed", job.state
 
 
-@then("every other job completes or still lasts, and none counts as failed")
+@then("every other job completes or still runs, and none counts as failed")
 def others_go_on(context):
     world = context.world
     states = {
@@ -139,7 +139,7 @@
 
 
 @when(
-    "a box crashes, another life answers at its address, and its entry stays for "
+    "a box crashes, another incarnation answers at its address, and its entry stays for "
     "{seconds:g} seconds"
 )
 def ended_incarnation_stays_listed(context, seconds):
@@ -159,7 +159,7 @@
     )
 
 
-@then("it is known to have ended once, and its successor gets work")
+@then("its end is recorded once, and the new incarnation gets work")
 def ended_once(context):
     world = context.world
     ends = [
@@ -172,7 +172,7 @@
 
 
 def box_of(world, task):
-    """Return the life on which a task runs, or nothing."""
+    """Return the incarnation on which a task runs, or ``None``."""
     incarnations = [
         incarnation for incarnation, box in world.boxes.items() if task in box.running
     ]
@@ -204,7 +204,7 @@
     assert job.state == "completed", job.state
 
 
-@when("a task that crashes its box is handed in, and another box is lost every second")
+@when("a task that crashes its box is submitted, and another box is lost every second")
 def crashing_among_lost(context):
     world = context.world
     world.advance(0.5)
@@ -264,9 +264,7 @@
         assert given_up == 0 and others > 200, context.rows
 
 
-@given(
-    "two tasks that start together and are not answered, one of them suspected before"
-)
+@given("two tasks that start together without an answer, one of them suspected before")
 def two_tasks(context):
     step = Step(count=2, cpu=500, memory_mb=10)
     workflow = Workflow(Submission("a" * 16, "q", "pool", "s", (step,)), 0.0)
@@ -288,7 +286,10 @@
     )
 
 
-@when("a box crashes on which {count:d} tasks of {jobs:d} lasting jobs have just begun")
+@when(
+    "a box crashes on which {count:d} tasks of {jobs:d} long-running jobs have just "
+    "started"
+)
 def box_of_many(context, count, jobs):
     world = context.world
     long_running = Step(count=1, cpu=200, memory_mb=10, long_running=True)
@@ -310,7 +311,8 @@
 
 
 @then(
-    "all of them run again within {seconds:g} seconds of its end, and few boxes are closed"
+    "all of them run again within {seconds:g} seconds of its end, and few boxes are "
+    "closed"
 )
 def all_run_again(context, seconds):
     world = context.world
@@ -323,7 +325,8 @@
 
 
 @when(
-    "random work and faults run on a shard whose boxes shrink and grow from seed {seed:d}"
+    "random work and faults run on a shard whose boxes shrink and grow from seed "
+    "{seed:d}"
 )
 def random_rooms(context, seed):
     context.shard = RandomShard(seed, "rooms")
@@ -331,7 +334,7 @@
 
 
 @when(
-    "a job has just begun, another's start is held back as the store is away, and the "
+    "a job has just started, another's start is held back as the store is away, and the "
     "box crashes"
 )
 def held_back(context):
@@ -354,7 +357,8 @@
 
 
 @when(
-    "random work and faults run on a shard whose deciders are suspended from seed {seed:d}"
+    "random work and faults run on a shard whose deciders are suspended from seed "
+    "{seed:d}"
 )
 def random_suspended(context, seed):
     context.shard = RandomShard(seed, "suspended")
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over lasting work that waits for long."""
+"""Steps for long-running tasks that wait for long, and for quarantined boxes."""
 
 import msgspec
 from behave import given
@@ -106,7 +106,7 @@
 
 
 class FailingBox:
-    """A decider with one box, where every run fails after a moment while ``fails``."""
+    """A scheduler with one box, on which every run soon fails while ``fails`` is set."""
 
     def __init__(self):
         self.harness = SchedulerHarness(1, OFF)
@@ -128,7 +128,7 @@
             starts.append(self.harness.now)
 
     def step(self):
-        """Let 0.1 s pass; each run ends in the step after the one it began in."""
+        """Let 0.1 s pass; a run ends in the step after the one in which it started."""
         harness = self.harness
         before = self._tasks()
         harness.wait(0.1)
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over refused clients and over late work."""
+"""Steps for refused clients and for late work."""
 
 import heapq
 import itertools
@@ -33,7 +33,7 @@
 
 
 def simulate_outage(policy, outage_s):
-    """Return which share of the clients is accepted, and their mean wait."""
+    """Return the percentage of the clients that are accepted, and their mean wait."""
     waits = []
     for number in range(CLIENTS):
         arrived_at = at = outage_s * number / CLIENTS
@@ -79,7 +79,8 @@
 
 
 class SimulatedShard:
-    """A decider and boxes that obey at once, of which each runs a few tasks that fill."""
+    """A scheduler among boxes that carry out commands at once; each has room for a few
+    best-effort tasks."""
 
     CPU, TASK_CPU, TASK_S = 8000, 2000, 1.0
 
@@ -183,7 +184,7 @@
             self.apply(self.scheduler.decide(self.now, 0, self.max_starts))
 
     def in_time(self, times=1.0):
-        """How many jobs were completed within so many times their objective."""
+        """Return how many jobs were completed within ``times`` their objective."""
         workflows = [self.scheduler.state.workflows[job] for job in self.jobs]
         objective = 2.0 * self.TASK_S + 1.0
         return sum(
@@ -195,7 +196,8 @@
 
 
 @given(
-    "a full shard of {boxes:d} boxes where jobs that fill were held up for {s:g} seconds"
+    "a full shard of {boxes:d} boxes where best-effort jobs were held up for {s:g} "
+    "seconds"
 )
 def held_up(context, boxes, s):
     context.shards = []
@@ -210,7 +212,7 @@
     context.held_up = list(context.shards[0].jobs)
 
 
-@when("new ones come that need {share:g} of the room, for {s:g} seconds")
+@when("new jobs that need {share:g} of the room are submitted for {s:g} seconds")
 def new_ones(context, share, s):
     for shard in context.shards:
         rng = random.Random(6)
@@ -225,7 +227,8 @@
 
 
 @given(
-    "a shard of {boxes:d} boxes and a burst of {count:d} jobs that fill, of {tasks} tasks each"
+    "a shard of {boxes:d} boxes and a burst of {count:d} best-effort jobs, "
+    "of {tasks} tasks each"
 )
 def burst_of_jobs(context, boxes, count, tasks):
     context.shards = []
@@ -240,20 +243,21 @@
 
 
 @then(
-    "at least {factor:g} times as many are completed in time as with {off} switched off"
+    "at least {factor:g} times as many jobs are completed in time as with {off} "
+    "switched off"
 )
 def more_in_time(context, factor, off):
     shipped, baseline = (shard.in_time() for shard in context.shards)
     assert baseline > 0 and shipped >= factor * baseline, (shipped, baseline)
 
 
-@then("at least {factor:g} times as many are of use as with {off} switched off")
+@then("at least {factor:g} times as many jobs are of use as with {off} switched off")
 def more_of_use(context, factor, off):
     shipped, baseline = (shard.in_time(3.0) for shard in context.shards)
     assert baseline > 0 and shipped >= factor * baseline, (shipped, baseline)
 
 
-@then("no fewer are completed in time")
+@then("no fewer jobs are completed in time")
 def no_fewer(context):
     shipped, baseline = (shard.in_time() for shard in context.shards)
     assert shipped >= baseline, (shipped, baseline)
@@ -268,7 +272,7 @@
     assert states == {"completed"}, states
 
 
-@then("the figures show tasks that fill waiting, late ones and more that are too late")
+@then("the counts show waiting best-effort tasks, late ones and more that are too late")
 def figures_show(context):
     shard = context.shards[0]
     waiting = count_waiting_tasks(shard.scheduler.state.waiting.values(), shard.now)
@@ -278,8 +282,8 @@
 
 
 @given(
-    "a shard of {boxes:d} boxes that may send {most:d} orders in a pass, "
-    "and a job of 20 tasks from long ago"
+    "a shard of {boxes:d} boxes with a limit of {most:d} starts in a pass, "
+    "and an old job of 20 tasks"
 )
 def few_orders(context, boxes, most):
     shard = SimulatedShard(boxes)
@@ -290,7 +294,7 @@
     context.shards = [shard]
 
 
-@when("jobs in time come for {s:g} seconds, more than can be ordered")
+@when("jobs in time are submitted for {s:g} seconds, more than can be started")
 def keep_coming(context, s):
     (shard,) = context.shards
     old = shard.scheduler.state.workflows[next(iter(shard.jobs))]
@@ -304,7 +308,7 @@
     context.started.append(shard.now)
 
 
-@then("the old job never had nothing started for longer than {most:g} seconds")
+@then("the old job starts a task at least every {most:g} seconds")
 def never_starved(context, most):
     gaps = [b - a for a, b in itertools.pairwise(context.started)]
     assert max(gaps) <= most, gaps
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over more work that fills than there is room for."""
+"""Steps for more best-effort work than there is room for."""
 
 import heapq
 import math
@@ -37,7 +37,7 @@
 
 
 class BurstSimulation:
-    """Boxes that obey at once, and a load drawn from a seed."""
+    """A scheduler among boxes that carry out commands at once, under a random load."""
 
     def __init__(self, boxes, load, off):
         self.now = 100.0
@@ -75,7 +75,7 @@
             self.tick()
 
     def submit(self, rng):
-        """Hand in a job; returns its work in seconds of a task."""
+        """Submit a random job and return its work in task-seconds."""
         tasks = max(1, min(200, int(rng.lognormvariate(2.2, 0.8))))
         duration_s = MEDIAN_TASK_S * rng.lognormvariate(0.0, 0.5)
         estimate_ms = int(1000 * duration_s * math.exp(rng.gauss(0.0, 0.6)))
@@ -139,7 +139,7 @@
         )
 
     def served(self, first, last):
-        """Share of the jobs between two shares of all, by size, that were of use."""
+        """Return which share of the jobs between two quantiles of size was of use."""
         ranked = sorted(self.submitted, key=lambda job: self.submitted[job][1])
         jobs = ranked[int(len(ranked) * first) : int(len(ranked) * last)]
         return sum(map(self.of_use, jobs)) / len(jobs)
@@ -159,8 +159,8 @@
 
 
 @then(
-    "the largest tenth, and the fifth beneath it, are served {share:g} times as often "
-    "as all"
+    "the largest tenth, and the fifth below it, are served at least {share:g} times as "
+    "often as all"
 )
 def largest_served(context, share):
     simulation = context.shipped
@@ -182,7 +182,7 @@
 
 
 def waiting(order, job, tasks, done=0, latest=200.0):
-    """A step of a job that waits."""
+    """Return a waiting step of a job."""
     step = Step(tasks, 1000, 10, estimate_ms=1000, image="f", best_effort=True)
     workflow = Workflow(Submission(job, "q", "pool", "s", (step,)), 100.0)
     order.record_submission(workflow)
@@ -194,7 +194,7 @@
 
 
 def order_of(sizes):
-    """An order that knows jobs of these sizes, of which all but the largest started."""
+    """Return an order after jobs of these sizes, of which the largest did not start."""
     order = ByUrgency(too_late_last=True, by_value=True, size_shares=True)
     for number, tasks in enumerate(sizes):
         entry = waiting(order, f"{number:016x}", tasks)
@@ -205,9 +205,7 @@
     return order
 
 
-@given(
-    "a waiting job of which half is done and one of the same size that has not begun"
-)
+@given("a waiting job that is half done and one of the same size that has not started")
 def half_done(context):
     context.order = order_of([])
     context.first = waiting(context.order, "a" * 16, 20, done=10)
@@ -220,7 +218,7 @@
     assert key(context.first, 110.0) < key(context.second, 110.0)
 
 
-@given("{count:d} jobs of which the largest got nothing")
+@given("{count:d} jobs of which the largest were not started")
 def largest_nothing(context, count):
     context.order = order_of([4] * (count - count // 8) + [100] * (count // 8))
     context.large = waiting(context.order, "a" * 16, 100)
@@ -228,7 +226,10 @@
     context.order.start_pass(110.0)
 
 
-@then("a large job goes before a small one that is as late, and not before one in time")
+@then(
+    "a large job goes before a small one that is equally late, and not before one in "
+    "time"
+)
 def large_goes(context):
     key = context.order.sort_key
     assert key(context.large, 110.0) < key(context.small, 110.0)
