--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over data halls that operators evacuate and take back."""
+"""Steps for data halls that operators evacuate and restore."""
 
 import anyio
 from behave import given
@@ -37,7 +37,7 @@
 
 
 def hall_of_runs(context, job):
-    """Halls where tasks of a job began, in the world's own record."""
+    """Return the halls where tasks of a job started, by the history of the boxes."""
     world = context.world
     return {
         context.hall_of[box.incarnation]
@@ -84,7 +84,7 @@
     context.world.advance(0.05)
 
 
-@when("hall {hall} is taken back")
+@when("hall {hall} is restored")
 def take_back(context, hall):
     context.world.restore(hall)
     context.world.advance(0.05)
@@ -122,7 +122,7 @@
     world = context.world
     box = next(b for b in world.boxes.values() if context.failing in b.running)
     box.end(context.failing, "failed", world.now)
-    # The only room is kept for short work at first.
+    # At first the only free room is reserved for short tasks.
     world.advance(3.0)
 
 
@@ -137,14 +137,14 @@
     assert where == {"h2"}, where
 
 
-@when("jobs wait while the decider is killed and replaced")
+@when("jobs wait while the leader is killed and replaced")
 def killed_and_replaced(context):
     world = context.world
     world.kill()
     world.take_over()
 
 
-@when("it is taken back while the decider hears nothing and the history is dropped")
+@when("it is restored while the leader reads nothing and the history is dropped")
 def dropped(context):
     world = context.world
     world.leader.deaf = True
@@ -162,12 +162,12 @@
     note_halls(context)
 
 
-@when("the decider hears nothing of operators for {seconds:f} seconds")
-@when("the decider hears nothing of operators for {seconds:f} seconds more")
+@when("the leader reads no directives for {seconds:f} seconds")
+@when("the leader reads no directives for {seconds:f} seconds more")
 def hears_nothing(context, seconds):
     world = context.world
     world.leader.deaf = True
-    # New jobs of the step that follows take a part of the time.
+    # The step that follows takes a part of the time.
     world.advance(max(0.05, seconds - 1.3))
 
 
@@ -182,24 +182,24 @@
     world.advance(0.3)
     note_halls(context)
     assert hall_of_runs(context, context.waiting) == set()
-    # It was said once, when it began.
+    # It was reported once, when it began.
     assert held(world.now) == []
     assert "starts_held" in {note.event for note in world.leader.notes}
 
 
-@when("the decider hears of operators again")
+@when("the leader reads directives again")
 def hears_again(context):
     context.world.leader.deaf = False
     context.world.advance(0.3)
 
 
-@then("what waited starts")
+@then("the waiting tasks start")
 def waited_starts(context):
     assert hall_of_runs(context, context.waiting)
     assert "starts_go_on" in {note.event for note in context.world.leader.notes}
 
 
-@given("an order window that lets nothing go")
+@given("a command window of size 0")
 def closed_window(context):
     class Closed(CommandWindow):
         @property
@@ -236,7 +236,7 @@
     anyio.run(run)
 
 
-@then("the starts for a have their turn now, stops and those for b wait on")
+@then("the starts for a get their turn now, stops and those for b keep waiting")
 def starts_released(context):
     assert sorted(context.granted) == [(SHORT, "a"), (BEST_EFFORT, "a")], (
         context.granted
@@ -244,7 +244,7 @@
     assert context.waiting == 2
 
 
-@when("a gang is placed over both halls and h1 is evacuated before its orders leave")
+@when("a gang is placed in both halls and h1 is evacuated before its starts are sent")
 def gang_withdrawn(context):
     world = context.world
     world.store_down = True
@@ -259,7 +259,7 @@
     world.advance(4.0)
 
 
-@then("all its members run in h2, and none was left alone there")
+@then("all its members run in h2, under one run number")
 def gang_elsewhere(context):
     world = context.world
     assert hall_of_runs(context, context.gang) <= {"h2"}
@@ -279,7 +279,7 @@
     assert len(ran) == 6, ran
 
 
-@when("advice named a box of h1 alone, and h1 is evacuated")
+@when("advice names only a box of h1, and h1 is evacuated")
 def advice_named(context):
     world = context.world
     scheduler = world.leader.scheduler
@@ -299,7 +299,7 @@
     context.asked = scheduler.decide(world.now + 2.0, 0)
 
 
-@then("the boxes of h2 are asked about")
+@then("advice is asked for the boxes of h2")
 def asked_again(context):
     questions = [d for d in context.asked if isinstance(d, AskAdvice)]
     halls = {
@@ -311,7 +311,7 @@
 
 
 class TwoHalls:
-    """A decider among idle boxes in two halls, and one where a task is kept slow."""
+    """A scheduler with idle boxes in two halls."""
 
     def __init__(self):
         self.now = 10.0
@@ -382,11 +382,11 @@
 @then("it would move to the box in h2")
 def would_move_in_hall(context):
     box = better(context)
-    # Without the hall's closing the idle box of h1 ranks as well as that of h2.
+    # Without the evacuation the idle box of h1 ranks as well as that of h2.
     assert box is not None and box.entry.hall == "h2" and box.incarnation != context.at
 
 
-@when("the box in h1 says that it is cold")
+@when("the box in h1 reports that it is cold")
 def cold(context):
     world = context.world
     incarnation = next(
@@ -415,14 +415,14 @@
     except MalformedDirective as error:
         assert error.key == key
         return
-    raise AssertionError("was taken")
+    raise AssertionError("was accepted")
 
 
 JOBS = iter(f"{number:016x}" for number in range(1, 1000))
 
 
 def native_halls(context, seconds):
-    """Hand in a job, and return the halls where its tasks started."""
+    """Submit a job, and return the halls where its tasks started."""
     cluster = context.cluster
     job = next(JOBS)
     steps = [{"count": 12, "cpu": 1000, "mem_mb": 100}]
@@ -442,12 +442,12 @@
     context.cluster.store("/test/order?key=evacuate/hall-1&value=%7B%7D")
 
 
-@when("the operator takes hall-1 back")
+@when("the operator restores hall-1")
 def operator_takes_back(context):
     context.cluster.store("/test/order?key=evacuate/hall-1")
 
 
-@when("the operator writes an order that can't be read")
+@when("the operator writes a malformed directive")
 def operator_errs(context):
     context.cluster.store("/test/order?key=evacuate/hall-2&value=%5B1")
 
@@ -455,12 +455,12 @@
 @then("a job's tasks start in hall-2 alone within a second")
 def native_alone(context):
     cluster = context.cluster
-    # In force within a second, however the order and the job are told.
+    # It must apply within a second, whichever node gets the directive or the job.
     context.cluster.wait(lambda: cluster.figure("halls_evacuated") == 1.0, "in force")
     assert native_halls(context, 10.0) == {"hall-2"}
 
 
-@then("every log line of it names the hall, its boxes and tasks")
+@then("every log line of the evacuation names the hall and its number of boxes")
 def native_logged(context):
     cluster = context.cluster
     lines = [
@@ -473,7 +473,7 @@
     assert all(line["subject"] == "hall-1" and line["boxes"] == 2 for line in lines)
 
 
-@when("the process that decides is killed")
+@when("the leading process is killed")
 def native_killed(context):
     cluster = context.cluster
     before = cluster.leader()
@@ -482,7 +482,7 @@
     cluster.wait(lambda: cluster.state("0" * 16) == "gone", "it serves")
 
 
-@then("the decider's log names its key and its figures count one hall and one order")
+@then("the leader's log names its key, its metrics count one hall and one directive")
 def native_named(context):
     cluster = context.cluster
 
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -207,7 +207,7 @@
 @then("meanwhile it was tried there at most once every 2 seconds, and no short job was")
 def tried_seldom(context):
     assert not any(short for short, _ in context.quarantined_steps)
-    tried = sum(lasting for _, lasting in context.quarantined_steps)
+    tried = sum(long_running for _, long_running in context.quarantined_steps)
     assert tried <= len(context.quarantined_steps) * 0.1 / 2.0 + 1, tried
 
 
--- a/features/steps/wide_steps.py
+++ b/features/steps/wide_steps.py
@@ -128,13 +128,19 @@
             elif isinstance(decision, AcknowledgeEnds):
                 self.ended[decision.incarnation].clear()
 
-    def start(self, order):
-        self.running[order.incarnation][order.task] = order.run
-        ends = self.now + self.durations_s[order.task.split(".")[0]]
-        heapq.heappush(self.ends, (ends, order.incarnation, order.task, order.run))
+    def start(self, decision):
+        self.running[decision.incarnation][decision.task] = decision.run
+        ends = self.now + self.durations_s[decision.task.split(".")[0]]
+        heapq.heappush(
+            self.ends, (ends, decision.incarnation, decision.task, decision.run)
+        )
         self.apply(
             self.scheduler.handle_start_outcome(
-                order.incarnation, order.task, order.run, CommandAccepted(1), self.now
+                decision.incarnation,
+                decision.task,
+                decision.run,
+                CommandAccepted(1),
+                self.now,
             )
         )
 
