--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -340,10 +340,10 @@
 def held_back(context):
     world = context.world
     step = Step(count=1, cpu=500, memory_mb=10)
-    context.begun = world.submit((step,))
+    context.started_job = world.submit((step,))
     world.advance(0.1)
     world.store_down = True
-    context.held = world.submit((step,))
+    context.held_job = world.submit((step,))
     world.advance(0.1)
     world.crash_box(0)
     world.advance(0.2)
@@ -352,8 +352,8 @@
 @then("the first is suspected, and the other is not")
 def only_begun(context):
     lost = {note.subject: note.inputs for note in notes(context, "run_lost")}
-    assert lost[f"{context.begun}.0.0.0"]["suspicion"] == LIKELY_POINTS, lost
-    assert lost[f"{context.held}.0.0.0"]["suspicion"] == 0, lost
+    assert lost[f"{context.started_job}.0.0.0"]["suspicion"] == LIKELY_POINTS, lost
+    assert lost[f"{context.held_job}.0.0.0"]["suspicion"] == 0, lost
 
 
 @when(
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -47,7 +47,7 @@
     }
 
 
-def note_halls(context):
+def record_halls(context):
     halls = {
         incarnation: entry.hall for incarnation, entry in context.world.entries.items()
     }
@@ -55,7 +55,7 @@
 
 
 def run_new_job(context):
-    note_halls(context)
+    record_halls(context)
     job = context.world.submit((SMALL,))
     context.world.advance(0.3)
     return hall_of_runs(context, job)
@@ -66,7 +66,7 @@
     names = [f"h{number}" for number in range(1, halls + 1)]
     context.world = ShardWorld(7, halls * boxes, names)
     context.world.advance(0.5)
-    note_halls(context)
+    record_halls(context)
 
 
 @given("long tasks run in both halls")
@@ -85,7 +85,7 @@
 
 
 @when("hall {hall} is restored")
-def take_back(context, hall):
+def restore_hall(context, hall):
     context.world.restore(hall)
     context.world.advance(0.05)
 
@@ -127,7 +127,7 @@
 
 
 @then("it runs again in h2")
-def again_elsewhere(context):
+def runs_elsewhere(context):
     world = context.world
     where = {
         context.hall_of[box.incarnation]
@@ -138,14 +138,14 @@
 
 
 @when("jobs wait while the leader is killed and replaced")
-def killed_and_replaced(context):
+def leader_replaced(context):
     world = context.world
     world.kill()
     world.take_over()
 
 
 @when("it is restored while the leader reads nothing and the history is dropped")
-def dropped(context):
+def history_dropped(context):
     world = context.world
     world.leader.deaf = True
     world.restore("h1")
@@ -159,12 +159,12 @@
 def box_appears(context):
     context.world.add_box("h1")
     context.world.advance(0.3)
-    note_halls(context)
+    record_halls(context)
 
 
 @when("the leader reads no directives for {seconds:f} seconds")
 @when("the leader reads no directives for {seconds:f} seconds more")
-def hears_nothing(context, seconds):
+def read_no_directives(context, seconds):
     world = context.world
     world.leader.deaf = True
     # The step that follows takes a part of the time.
@@ -180,7 +180,7 @@
     assert not scheduler.evacuation.up_to_date(world.now)
     context.waiting = world.submit((SMALL,))
     world.advance(0.3)
-    note_halls(context)
+    record_halls(context)
     assert hall_of_runs(context, context.waiting) == set()
     # It was reported once, when it began.
     assert held(world.now) == []
@@ -188,13 +188,13 @@
 
 
 @when("the leader reads directives again")
-def hears_again(context):
+def read_directives_again(context):
     context.world.leader.deaf = False
     context.world.advance(0.3)
 
 
 @then("the waiting tasks start")
-def waited_starts(context):
+def waiting_tasks_start(context):
     assert hall_of_runs(context, context.waiting)
     assert "starts_go_on" in {note.event for note in context.world.leader.notes}
 
@@ -362,7 +362,7 @@
     context.at = box
 
 
-def better(context):
+def better_box(context):
     halls = context.halls
     halls.scheduler.state.index.refresh(halls.now)
     return halls.scheduler.dispatcher._better_box(context.task, halls.now)
@@ -370,18 +370,18 @@
 
 @then("it would move to a box")
 def would_move(context):
-    assert better(context) is not None
+    assert better_box(context) is not None
 
 
 @when("h1 is evacuated there")
 def evacuated_there(context):
-    orders = [HallDirective("h1", True)]
-    context.halls.scheduler.evacuation.apply_directives(orders, context.halls.now)
+    directives = [HallDirective("h1", True)]
+    context.halls.scheduler.evacuation.apply_directives(directives, context.halls.now)
 
 
 @then("it would move to the box in h2")
 def would_move_in_hall(context):
-    box = better(context)
+    box = better_box(context)
     # Without the evacuation the idle box of h1 ranks as well as that of h2.
     assert box is not None and box.entry.hall == "h2" and box.incarnation != context.at
 
@@ -421,7 +421,7 @@
 JOBS = iter(f"{number:016x}" for number in range(1, 1000))
 
 
-def native_halls(context, seconds):
+def halls_of_new_job(context, seconds):
     """Submit a job, and return the halls where its tasks started."""
     cluster = context.cluster
     job = next(JOBS)
@@ -443,12 +443,12 @@
 
 
 @when("the operator restores hall-1")
-def operator_takes_back(context):
+def operator_restores(context):
     context.cluster.store("/test/order?key=evacuate/hall-1")
 
 
 @when("the operator writes a malformed directive")
-def operator_errs(context):
+def operator_writes_malformed(context):
     context.cluster.store("/test/order?key=evacuate/hall-2&value=%5B1")
 
 
@@ -457,7 +457,7 @@
     cluster = context.cluster
     # It must apply within a second, whichever node gets the directive or the job.
     context.cluster.wait(lambda: cluster.figure("halls_evacuated") == 1.0, "in force")
-    assert native_halls(context, 10.0) == {"hall-2"}
+    assert halls_of_new_job(context, 10.0) == {"hall-2"}
 
 
 @then("every log line of the evacuation names the hall and its number of boxes")
@@ -500,7 +500,7 @@
 def native_both(context):
     cluster = context.cluster
     cluster.wait(lambda: cluster.figure("halls_evacuated") == 0.0, "in force")
-    assert native_halls(context, 10.0) == {"hall-1", "hall-2"}
+    assert halls_of_new_job(context, 10.0) == {"hall-1", "hall-2"}
 
 
 @given("a task whose start got no answer, alone on its box")
@@ -517,10 +517,10 @@
 
 
 @when("each look waits {wait:g} seconds for an end, and each stop is answered at once")
-def looks_wait(context, wait):
+def polls_wait(context, wait):
     halls, scheduler = context.halls, context.halls.scheduler
     task = scheduler.state.workflows["00bb"].tasks[(0, 0, 0)]
-    context.began, context.again_at = halls.now, None
+    context.started_at, context.restarted_at = halls.now, None
     for _ in range(10):
         sent = halls.now
         for decision in context.given:
@@ -535,11 +535,11 @@
             context.at, sent, halls.now, poll
         )
         scheduler.decide(halls.now, 0)
-        if task.run > 1 and context.again_at is None:
-            context.again_at = halls.now
+        if task.run > 1 and context.restarted_at is None:
+            context.restarted_at = halls.now
 
 
 @then("the task starts again within {seconds:g} seconds")
 def starts_again(context, seconds):
-    assert context.again_at is not None
-    assert context.again_at - context.began <= seconds, context.again_at
+    assert context.restarted_at is not None
+    assert context.restarted_at - context.started_at <= seconds, context.restarted_at
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -215,10 +215,10 @@
 def runs_for_good(context, seconds):
     failing = context.failing
     (task,) = failing.long_running.tasks.values()
-    began = failing.harness.now
-    while not task.placed and failing.harness.now - began < 30.0:
+    started_at = failing.harness.now
+    while not task.placed and failing.harness.now - started_at < 30.0:
         failing.step()
-    took = failing.harness.now - began
+    took = failing.harness.now - started_at
     assert took <= seconds, took
     for _ in range(50):
         failing.step()
