--- a/features/native_evacuation.feature
+++ b/features/native_evacuation.feature
@@ -53,7 +53,7 @@
     Then the waiting tasks start
 
   Scenario: Starts that are queued in the command window are withdrawn at once
-    Given a command window of size 0
+    Given a command window that lets nothing pass
     When starts wait for boxes a and b, and a is closed
     Then the starts for a get their turn now, stops and those for b keep waiting
 
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -199,7 +199,7 @@
     assert "starts_go_on" in {note.event for note in context.world.leader.notes}
 
 
-@given("a command window of size 0")
+@given("a command window that lets nothing pass")
 def closed_window(context):
     class Closed(CommandWindow):
         @property
