--- a/features/steps/aged_steps.py
+++ b/features/steps/aged_steps.py
@@ -92,8 +92,8 @@
 
 
 @when(
-    "a job that fits nowhere waits for {seconds:g} seconds, and {count:d} others behind "
-    "it"
+    "a job that fits nowhere waits for {seconds:g} seconds, and {count:d} others "
+    "behind it"
 )
 def fits_nowhere(context, seconds, count):
     limited = context.limited
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -71,7 +71,7 @@
 
 
 def all_lose_power(world):
-    """Only the store keeps its data, and it takes seconds until a process leads again."""
+    """Only the store keeps its data; it takes seconds until a process leads again."""
     world.kill()
     world.advance(3.0)
     world.take_over()
@@ -139,8 +139,8 @@
 
 
 @when(
-    "a box crashes, another incarnation answers at its address, and its entry stays for "
-    "{seconds:g} seconds"
+    "a box crashes, another incarnation answers at its address, and its entry stays "
+    "for {seconds:g} seconds"
 )
 def ended_incarnation_stays_listed(context, seconds):
     world = context.world
@@ -334,8 +334,8 @@
 
 
 @when(
-    "a job has just started, another's start is held back as the store is away, and the "
-    "box crashes"
+    "a job has just started, another's start is held back as the store is away, and "
+    "the box crashes"
 )
 def held_back(context):
     world = context.world
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -106,7 +106,7 @@
 
 
 class FailingBox:
-    """A scheduler with one box, on which every run soon fails while ``fails`` is set."""
+    """A scheduler with one box, where every run soon fails while ``fails`` is set."""
 
     def __init__(self):
         self.harness = SchedulerHarness(1, OFF)
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -68,7 +68,8 @@
 
 
 @then(
-    "they have waited at most {wait:g} seconds at the mean, and no longer than the others"
+    "they have waited at most {wait:g} seconds at the mean, and no longer than the "
+    "others"
 )
 def waited(context, wait):
     assert context.shipped[1] <= wait, context.shipped
--- a/src/granitetrestle/crashloops.py
+++ b/src/granitetrestle/crashloops.py
@@ -136,7 +136,7 @@
 
     :param candidates: the tasks of :func:`may_have_crashed`.
     :param lost_at: when it was lost, or last answered before.
-    :param by_itself: whether it may have been lost for an unrelated cause.
+    :param maybe_unrelated: whether it may have been lost for an unrelated cause.
     """
     likely = [task for task in candidates if has_just_started(task, lost_at)]
     likely = likely or list(candidates)
--- a/src/granitetrestle/headroom.py
+++ b/src/granitetrestle/headroom.py
@@ -93,6 +93,7 @@
     long-running tasks hold nearly all of the pool."""
 
     def __init__(self) -> None:
+        # Service -> thousandths of a core to reserve, as estimated.
         self._reserved_cpu: dict[str, float] = {}
         self._reserved: set[str] = set()
         self._updated_at: float | None = None
