--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -228,11 +228,11 @@
 
     def _blame(self, box: BoxView, now: float) -> BlamedTasks:
         """Count the loss of a box against the tasks that may have crashed it."""
-        able, lost_at = may_have_crashed(box), box.lost_at or box.clock_at
-        if not any(has_just_started(task, lost_at) for task in able):
+        candidates, lost_at = may_have_crashed(box), box.lost_at or box.clock_at
+        if not any(has_just_started(task, lost_at) for task in candidates):
             self._losses.record_unexplained(now)
         maybe_unrelated = self._losses.may_be_unrelated(box.silent_since, now)
-        return blame(able, lost_at, maybe_unrelated)
+        return blame(candidates, lost_at, maybe_unrelated)
 
     def resume_leases(self, again: ResumeLeases) -> None:
         """Renew leases of a box again, since a successor would know of it."""
@@ -275,9 +275,7 @@
         """Return the end of a lease renewed now, on the box's clock in ms, if it may be."""
         if not box.clock_at:
             return None
-        if box.incarnation in self._state.withdrawn_leases or _too_long_silent(
-            box, now
-        ):
+        if box.incarnation in self._state.withdrawn_leases or _long_silent(box, now):
             return None
         parameters = self._state.parameters
         box.lease_ends = max(box.lease_ends, now + parameters.lease_bound_s)
@@ -458,7 +456,7 @@
         for box in list(self._state.boxes.values()):
             if box.silent_since is None and box.adopted:
                 continue
-            if box.tasks and box.adopted and _too_long_silent(box, now):
+            if box.tasks and box.adopted and _long_silent(box, now):
                 self._state.withdrawn_leases.withdraw(box.incarnation)
             if now > box.lease_ends:
                 if not box.listed:
@@ -494,5 +492,5 @@
         return effects
 
 
-def _too_long_silent(box: BoxView, now: float) -> bool:
+def _long_silent(box: BoxView, now: float) -> bool:
     return box.silent_since is not None and now - box.silent_since > SILENCE_LIMIT_S
