--- a/src/granitetrestle/fleet.py
+++ b/src/granitetrestle/fleet.py
@@ -272,7 +272,10 @@
         return PollPlan(box.entry.address, box.durable_end, until, wait)
 
     def renewed_lease_end_ms(self, box: BoxView, now: float) -> int | None:
-        """Return the end of a lease renewed now, on the box's clock in ms, if it may be."""
+        """Return when a lease renewed now ends, in ms on the box's clock.
+
+        :return: ``None`` if the lease must not be renewed.
+        """
         if not box.clock_at:
             return None
         if box.incarnation in self._state.withdrawn_leases or _long_silent(box, now):
@@ -372,7 +375,7 @@
         return self.repace(box, now)
 
     def repace(self, box: BoxView, now: float) -> list[Decision]:
-        """Set the paces of best-effort tasks to what the serving tasks tolerate."""
+        """Set the paces of best-effort tasks to what serving tasks tolerate."""
         effects: list[Decision] = []
         if not self._state.is_enabled(Mechanism.PACING):
             return effects
--- a/src/granitetrestle/scheduler.py
+++ b/src/granitetrestle/scheduler.py
@@ -80,6 +80,7 @@
         self._long_running_waits = LongRunningWaits(self._state)
         self._swept_at = now
         self._interference_written_at = now
+        # Jobs whose progress could not be read at the take-over.
         self._doubtful: list[Workflow] = []
 
     @property
@@ -99,7 +100,7 @@
 
     @property
     def long_running_waits(self) -> LongRunningWaits:
-        """Why long-running tasks wait."""
+        """Reports why long-running tasks wait."""
         return self._long_running_waits
 
     @property
