--- a/features/session_world.py
+++ b/features/session_world.py
@@ -54,7 +54,7 @@
         return outcome
 
 
-class WaitingStore(MemoryStore):
+class LongPollStore(MemoryStore):
     """Answers a reading that may wait after a while."""
 
     async def read(self, topic, start, wait_s):
@@ -65,12 +65,12 @@
         return await super().read(topic, start, wait_s)
 
 
-class StaleReadStore(WaitingStore):
+class StaleReadStore(LongPollStore):
     """Shows the newest records as they were a while ago, for the first few readings."""
 
-    def __init__(self, model, behind_s, readings):
+    def __init__(self, model, staleness_s, readings):
         super().__init__(model)
-        self._behind_s = behind_s
+        self._staleness_s = staleness_s
         self._readings = readings
         self._ends = []
 
@@ -86,14 +86,14 @@
         if topic != JOBS_TOPIC or not self._readings:
             return await super().newest_page(topic, after, timeout_s)
         self._readings -= 1
-        shown = time.monotonic() - self._behind_s
+        shown = time.monotonic() - self._staleness_s
         end = max((end for at, end in self._ends if at <= shown), default=0)
         older = StoreModel()
         older.append(topic, self.model.topics[topic][:end], None)
         return await MemoryStore(older).newest_page(topic, after, timeout_s)
 
 
-class TruncatedReadStore(WaitingStore):
+class TruncatedReadStore(LongPollStore):
     """Leaves out the last of the newest records, for the first few readings."""
 
     def __init__(self, model, readings):
@@ -207,15 +207,15 @@
         log = NodeLog(descriptor=os.dup(self._log_file.fileno()), node=f"n{epoch}")
         ready = anyio.Event()
         async with anyio.create_task_group() as tasks:
-            taken = await take_over(self.store, epoch, incarnation or f"life-{epoch}")
-            session = Session(self._sources, taken, PARAMETERS, log, NodeMetrics())
+            claim = await take_over(self.store, epoch, incarnation or f"life-{epoch}")
+            session = Session(self._sources, claim, PARAMETERS, log, NodeMetrics())
             tasks.start_soon(session.run, ready.set)
             with anyio.fail_after(10.0):
                 await ready.wait()
             yield session
             tasks.cancel_scope.cancel()
 
-    async def do_job(self, session, tasks):
+    async def run_job(self, session, tasks):
         """Hand in a job and wait until its client is shown that it is completed."""
         self._jobs += 1
         job = f"{self._jobs:016x}"
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -107,7 +107,7 @@
         return []
 
 
-def poller(incarnation, calls, scheduler, budget):
+def make_poller(incarnation, calls, scheduler, budget):
     return BoxPoller(
         incarnation,
         "a",
@@ -141,7 +141,9 @@
     async def script():
         async with anyio.create_task_group() as tasks:
             for incarnation in context.scheduler.boxes:
-                poll = poller(incarnation, context.calls, context.scheduler, budget)
+                poll = make_poller(
+                    incarnation, context.calls, context.scheduler, budget
+                )
                 tasks.start_soon(poll.run)
             await anyio.sleep(seconds)
             tasks.cancel_scope.cancel()
@@ -150,7 +152,7 @@
 
 
 @when("it looks at them for {seconds:d} seconds")
-def polls(context, seconds):
+def poll_for(context, seconds):
     poll_all(context, seconds, PollBudget(1000))
 
 
@@ -227,7 +229,7 @@
 @when("a task is started there after {seconds:g} seconds")
 def started_after(context, seconds):
     async def script():
-        poll = poller("b0", context.calls, context.scheduler, context.budget)
+        poll = make_poller("b0", context.calls, context.scheduler, context.budget)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(poll.run)
             await anyio.sleep(seconds)
@@ -247,7 +249,7 @@
     box.adopted = True
 
     async def script():
-        poll = poller("b0", context.calls, context.scheduler, context.budget)
+        poll = make_poller("b0", context.calls, context.scheduler, context.budget)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(poll.run)
             await anyio.sleep(span / 2)
@@ -351,13 +353,13 @@
 
 
 @when("it connects to {peers:d} peers")
-def connects(context, peers):
+def connect_peers(context, peers):
     for number in range(peers):
         context.link.connect(f"p{number}", "127.0.0.1:1")
 
 
 @then("it goes on with those it reached, and says once that others were not")
-def goes_on(context):
+def keeps_reached_peers(context):
     assert context.link.connections == 3
     assert context.reported == ["p3"], context.reported
     context.link.close()
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -15,8 +15,8 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from granitetrestle_standins.nativestore import StoreModel
+from session_world import LongPollStore
 from session_world import SessionWorld
-from session_world import WaitingStore
 
 # Long enough for what was let go to leave.
 AFTER_S = 1.5
@@ -29,7 +29,7 @@
 
 @given("a decider, and a box that takes {seconds:g} seconds to answer each start")
 def slow_box(context, seconds):
-    context.world = SessionWorld(WaitingStore(StoreModel()), 1, context.folder)
+    context.world = SessionWorld(LongPollStore(StoreModel()), 1, context.folder)
     boxes = context.world.boxes
     start = boxes.start
     context.arrived = []
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -97,12 +97,12 @@
 def write_at_once(context, count, size):
     store = context.store
     store.model.append("t", (), Writer(1, 1))
-    due = [Record(f"r/{number}", bytes(size)) for number in range(count)]
-    context.wanted = list(due)
+    pending = [Record(f"r/{number}", bytes(size)) for number in range(count)]
+    context.wanted = list(pending)
 
     def take():
-        records = list(due)
-        due.clear()
+        records = list(pending)
+        pending.clear()
         return records
 
     journal = Journal(
@@ -212,7 +212,7 @@
 
 
 @then("all its tasks are seen")
-def all_seen(context):
+def all_tasks_listed(context):
     assert isinstance(context.poll, PollResult), context.poll
     assert len(context.poll.running) == context.count
 
@@ -230,7 +230,7 @@
         scheduler.fleet.handle_poll_outcome(
             incarnation, 0.0, 0.1, PollResult(100, (), ())
         )
-    context.good = {max(world.entries)} if which == "only the last" else set()
+    context.suitable = {max(world.entries)} if which == "only the last" else set()
 
 
 @when("a job of that step waits for {seconds:g} seconds")
@@ -249,12 +249,12 @@
             if isinstance(decision, AskAdvice):
                 context.asked.update(decision.incarnations)
                 assert len(decision.incarnations) <= 100, decision
-                good = {
+                suitable = {
                     incarnation: "t"
                     for incarnation in decision.incarnations
-                    if incarnation in context.good
+                    if incarnation in context.suitable
                 }
-                scheduler.apply_advice(decision, Advice(good, 1.0), now)
+                scheduler.apply_advice(decision, Advice(suitable, 1.0), now)
             elif isinstance(decision, StartTask):
                 context.starts.append(decision)
         scheduler.evacuation.record_read(now)
@@ -263,7 +263,7 @@
 @then("it has started there, and no box was asked about twice")
 def started_there(context):
     (start,) = context.starts
-    assert {start.incarnation} == context.good, start
+    assert {start.incarnation} == context.suitable, start
     assert max(context.asked.values()) == 1, context.asked
 
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -120,14 +120,14 @@
     "{count:d} starts of what fills are ordered at once, "
     "and {after:g} seconds later {urgent:d} urgent ones"
 )
-def windowed(context, count, after, urgent):
+def burst_through_window(context, count, after, urgent):
     context.urgent = urgent
     context.count = count
     burst(context, CommandWindow(), count, after, urgent)
 
 
 @when("the same comes to a decider whose order window is switched off")
-def open_window(context):
+def burst_without_window(context):
     burst(context, UnlimitedWindow(), 240, 0.3, 6)
 
 
@@ -161,7 +161,7 @@
 
 
 @when("{count:d} orders go by turns to a box that answers and to one that is gone")
-def by_turns(context, count):
+def answers_and_no_answers(context, count):
     for number in range(count):
         context.now += 0.02
         if number % 2:
@@ -171,12 +171,12 @@
 
 
 @then("it still lets at least {least:d} orders go at once")
-def still_lets(context, least):
+def window_is_at_least(context, least):
     assert context.window.size >= least, context.window.size
 
 
 @given("a decider with {boxes:d} free boxes that may send {most:d} orders soon")
-def may_send(context, boxes, most):
+def free_boxes_and_capacity(context, boxes, most):
     context.load = Load(boxes, 3)
     context.most = most
     scheduler = context.load.scheduler
@@ -232,7 +232,7 @@
 
 
 @then("it is not wanted any more, and its task starts elsewhere at once")
-def not_wanted(context):
+def withdrawn_and_restarted(context):
     scheduler, command, now = context.load.scheduler, context.command, context.load.now
     assert not scheduler.confirm_start(command, context.load.now)
     withdrawn = CommandNotSent("withdrawn")
@@ -246,7 +246,7 @@
 @when(
     "its own event loop falls {lag:g} seconds behind, and {count:d} answers take {s:g} seconds"
 )
-def own_delay(context, lag, count, s):
+def lag_event_loop(context, lag, count, s):
     for _ in range(count):
         context.now += 0.02
         context.window._lag.record_sleep(lag + 0.05)
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -33,8 +33,8 @@
 from granitetrestle_standins.nativestore import StoreModel
 from session_world import CONFIG
 from session_world import PARAMETERS
+from session_world import LongPollStore
 from session_world import SessionWorld
-from session_world import WaitingStore
 
 # Ends that a box lists in one answer.
 ENDS_LISTED = 500
@@ -73,13 +73,13 @@
 }
 
 
-class AnsweringStore(WaitingStore):
+class AnsweringStore(LongPollStore):
     """Answers the readings of a successor as told; ``_readings`` is set when it begins."""
 
     _readings = ()
 
     async def newest_page(self, topic, after, timeout_s):
-        """See :meth:`WaitingStore.newest_page`."""
+        """See :meth:`LongPollStore.newest_page`."""
         whole = await super().newest_page(topic, after, timeout_s)
         if topic != JOBS_TOPIC or not self._readings:
             return whole
@@ -87,18 +87,18 @@
         return first(whole, self.model.topics[topic])
 
 
-class SilentStore(WaitingStore):
+class SilentStore(LongPollStore):
     """Gives no answer to readings of the jobs."""
 
     async def newest_page(self, topic, after, timeout_s):
-        """See :meth:`WaitingStore.newest_page`."""
+        """See :meth:`LongPollStore.newest_page`."""
         if topic != JOBS_TOPIC:
             return await super().newest_page(topic, after, timeout_s)
         await anyio.sleep(timeout_s)
         return StoreUnavailable("no answer")
 
 
-class LeavingStore(WaitingStore):
+class LeavingStore(LongPollStore):
     """Takes its time for an append with tasks in it, and answers none after that."""
 
     def __init__(self, model, took_s):
@@ -107,7 +107,7 @@
         self._last = None
 
     async def append(self, topic, records, writer, timeout_s):
-        """See :meth:`WaitingStore.append`."""
+        """See :meth:`LongPollStore.append`."""
         if topic != JOBS_TOPIC or writer is None:
             return await super().append(topic, records, writer, timeout_s)
         if self._last is None and any(r.key.startswith("t/") for r in records):
@@ -121,7 +121,7 @@
         return await super().append(topic, records, writer, timeout_s)
 
 
-class SlowStore(WaitingStore):
+class SlowStore(LongPollStore):
     """Takes its time for each append of a decider."""
 
     def __init__(self, model, took_s):
@@ -129,7 +129,7 @@
         self._took_s = took_s
 
     async def append(self, topic, records, writer, timeout_s):
-        """See :meth:`WaitingStore.append`."""
+        """See :meth:`LongPollStore.append`."""
         if writer is not None:
             await anyio.sleep(self._took_s)
         return await super().append(topic, records, writer, timeout_s)
@@ -160,7 +160,7 @@
         # Less time than passes until the details of ended jobs are forgotten.
         async with world.session(1) as session:
             for _ in range(jobs):
-                await world.do_job(session, tasks)
+                await world.run_job(session, tasks)
         world.store._readings = context.readings
         async with world.session(2) as session:
             await anyio.sleep(1.5)
@@ -261,7 +261,7 @@
 
 @given("a box that lists 500 ends at a time")
 def listing_box(context):
-    context.world = SessionWorld(WaitingStore(StoreModel()), 1, context.folder)
+    context.world = SessionWorld(LongPollStore(StoreModel()), 1, context.folder)
     model = context.world.boxes.models["b0"]
     poll = model.poll
 
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -15,10 +15,10 @@
 from granitetrestle.succession import take_over
 from granitetrestle_standins.nativestore import StoreModel
 from session_world import CountingModel
+from session_world import LongPollStore
 from session_world import SessionWorld
 from session_world import StaleReadStore
 from session_world import TruncatedReadStore
-from session_world import WaitingStore
 
 # Longer than a decider without news waits before it confirms itself.
 PAUSE_S = 0.6
@@ -26,13 +26,13 @@
 
 @given("a store that counts only appends with records, and {boxes:d} boxes")
 def plain_store(context, boxes):
-    store = WaitingStore(StoreModel())
+    store = LongPollStore(StoreModel())
     context.world = SessionWorld(store, boxes, context.folder)
 
 
 @given("a store that counts the numbers of empty appends, and {boxes:d} boxes")
 def counting_store(context, boxes):
-    store = WaitingStore(CountingModel())
+    store = LongPollStore(CountingModel())
     context.world = SessionWorld(store, boxes, context.folder)
 
 
@@ -66,13 +66,13 @@
     async def script():
         async with world.session(1) as session:
             for _ in range(3):
-                await world.do_job(session, tasks)
+                await world.run_job(session, tasks)
                 await anyio.sleep(PAUSE_S)
-            await world.do_job(session, tasks)
+            await world.run_job(session, tasks)
         world.store._readings = getattr(context, "readings", 0)
         async with world.session(2) as session:
             await anyio.sleep(1.5)
-            await world.do_job(session, tasks)
+            await world.run_job(session, tasks)
             context.states = {
                 job: workflow.state
                 for job, workflow in session.scheduler.state.workflows.items()
@@ -91,7 +91,7 @@
     async def script():
         async with world.session(1, "first life") as session:
             for _ in range(jobs):
-                await world.do_job(session, tasks)
+                await world.run_job(session, tasks)
         context.taken = await take_over(world.store, 1, "second life")
         if isinstance(context.taken, EpochClaim):
             log = NodeLog(descriptor=2)
