--- a/features/session_world.py
+++ b/features/session_world.py
@@ -1,5 +1,5 @@
-"""Real sessions, one after the other, among model boxes and a model store that answers as
-a scenario says; all in one process and in real time."""
+"""Real sessions, one after the other, with model boxes and a model store that answers
+as a scenario sets; all in one process and in real time."""
 
 import contextlib
 import json
@@ -31,13 +31,13 @@
 QUEUE = Queue("q", "host", "/q/", "pool", 0, 3, 1.5, 1000.0)
 CONFIG = Config(1, (QUEUE,), {"pool": True}, 262144)
 PARAMETERS = SchedulerParameters(lease_s=3.0, orphan_s=2.0, keep_s=60.0)
-# Longer than a decider without news waits before it confirms itself.
+# Longer than an idle leader waits before it confirms its lease.
 TASK_S = 0.6
 TICK_S = 0.01
 
 
 class CountingModel(StoreModel):
-    """Counts the number of an append without records as it does that of any other."""
+    """Counts appends without records in the sequence, like any other."""
 
     def append(self, topic, records, writer):
         """See :meth:`StoreModel.append`."""
@@ -55,7 +55,7 @@
 
 
 class LongPollStore(MemoryStore):
-    """Answers a reading that may wait after a while."""
+    """Lets a read wait for records, up to the time that it allows."""
 
     async def read(self, topic, start, wait_s):
         """See :meth:`MemoryStore.read`."""
@@ -66,7 +66,7 @@
 
 
 class StaleReadStore(LongPollStore):
-    """Shows the newest records as they were a while ago, for the first few readings."""
+    """Returns the newest records as of some seconds ago, for the first few reads."""
 
     def __init__(self, model, staleness_s, readings):
         super().__init__(model)
@@ -94,7 +94,7 @@
 
 
 class TruncatedReadStore(LongPollStore):
-    """Leaves out the last of the newest records, for the first few readings."""
+    """Leaves out the last half of the newest records, for the first few reads."""
 
     def __init__(self, model, readings):
         super().__init__(model)
@@ -111,17 +111,17 @@
 
 
 class ModelBoxes(BoxCalls):
-    """Boxes that answer at once. A task runs for a fixed time."""
+    """Boxes that answer at once and run each task for a fixed time."""
 
     def __init__(self, boxes):
         self.models = {
             f"b{n}": BoxModel(f"b{n}", PARAMETERS.lease_s) for n in range(boxes)
         }
-        # Boxes that a decider's epoch reaches no more.
+        # Boxes that a leader's epoch can't reach any more.
         self.unreachable = set()
 
     def tick(self):
-        """Let tasks end in time."""
+        """End the tasks that have run long enough."""
         now = time.monotonic()
         for model in self.models.values():
             model.tick(now)
@@ -172,7 +172,7 @@
 
 
 class SessionWorld:
-    """A store, boxes, and one session after the other."""
+    """A store, boxes, and sessions that succeed each other."""
 
     def __init__(self, store, boxes, folder):
         self.store = store
@@ -203,11 +203,13 @@
 
     @contextlib.asynccontextmanager
     async def session(self, epoch, incarnation=""):
-        """Let a process take over; it is killed as the block ends."""
+        """Let a process take over; it is killed when the block ends."""
         log = NodeLog(descriptor=os.dup(self._log_file.fileno()), node=f"n{epoch}")
         ready = anyio.Event()
         async with anyio.create_task_group() as tasks:
-            claim = await take_over(self.store, epoch, incarnation or f"life-{epoch}")
+            claim = await take_over(
+                self.store, epoch, incarnation or f"incarnation-{epoch}"
+            )
             session = Session(self._sources, claim, PARAMETERS, log, NodeMetrics())
             tasks.start_soon(session.run, ready.set)
             with anyio.fail_after(10.0):
@@ -216,7 +218,7 @@
             tasks.cancel_scope.cancel()
 
     async def run_job(self, session, tasks):
-        """Hand in a job and wait until its client is shown that it is completed."""
+        """Submit a job and wait until its completion is visible to its client."""
         self._jobs += 1
         job = f"{self._jobs:016x}"
         step = Step(count=tasks, cpu=500, memory_mb=10, estimate_ms=200)
@@ -230,6 +232,6 @@
         return job
 
     def lines(self, event):
-        """Return the lines of one kind that all sessions wrote."""
+        """Return the log lines of one event, of all sessions."""
         lines = (self._folder / "sessions.log").read_text().splitlines()
         return [line for line in map(json.loads, lines) if line["event"] == event]
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -1,5 +1,4 @@
-"""Steps of the scenarios over far more boxes than one decider's connections and
-processor bear."""
+"""Steps for far more boxes than one leader's connections and processor can serve."""
 
 import asyncio
 import errno
@@ -35,7 +34,7 @@
 
 
 class Boxes:
-    """Calls that take the decider's processor, one after the other."""
+    """Calls that take the leader's processor, one after the other."""
 
     def __init__(self, call_s, gone=()):
         self.call_s = call_s
@@ -73,7 +72,7 @@
 
 
 class FakeScheduler:
-    """As much of a decider as a keeper asks."""
+    """The part of a scheduler that a poller uses."""
 
     def __init__(self, count):
         self.boxes = {f"b{n}": BoxView(entry(f"b{n}"), 0.0) for n in range(count)}
@@ -100,7 +99,7 @@
     def renewed_lease_end_ms(self, box, now):
         return 1
 
-    def confirm_start(self, order, now):
+    def confirm_start(self, command, now):
         return True
 
     def handle_start_outcome(self, *arguments):
@@ -123,13 +122,13 @@
     )
 
 
-@given("{boxes:d} boxes, and a decider that needs {ms:d} ms for each call")
+@given("{boxes:d} boxes, and a leader that needs {ms:d} ms for each call")
 def boxes_for(context, boxes, ms):
     context.scheduler, context.calls = FakeScheduler(boxes), Boxes(ms / 1000.0)
 
 
 @given(
-    "{boxes:d} boxes, of which {gone:d} are gone, and a decider that needs {ms:d} ms "
+    "{boxes:d} boxes, of which {gone:d} are gone, and a leader that needs {ms:d} ms "
     "for each call"
 )
 def boxes_gone(context, boxes, gone, ms):
@@ -141,22 +140,22 @@
     async def script():
         async with anyio.create_task_group() as tasks:
             for incarnation in context.scheduler.boxes:
-                poll = make_poller(
+                poller = make_poller(
                     incarnation, context.calls, context.scheduler, budget
                 )
-                tasks.start_soon(poll.run)
+                tasks.start_soon(poller.run)
             await anyio.sleep(seconds)
             tasks.cancel_scope.cancel()
 
     anyio.run(script)
 
 
-@when("it looks at them for {seconds:d} seconds")
+@when("it polls them for {seconds:d} seconds")
 def poll_for(context, seconds):
     poll_all(context, seconds, PollBudget(1000))
 
 
-@when("it looks at them for {seconds:d} seconds, all at once")
+@when("it polls them for {seconds:d} seconds, all at once")
 def poll_all_at_once(context, seconds):
     budget = PollBudget(1_000_000)
     budget._contact_window = UnlimitedWindow()
@@ -164,7 +163,7 @@
 
 
 @then(
-    "it has reached {boxes:d} boxes at least, and at most 1 look in {part:d} was given up"
+    "it has reached {boxes:d} boxes at least, and at most 1 poll in {part:d} timed out"
 )
 def reached_with_few(context, boxes, part):
     reached(context, boxes)
@@ -178,7 +177,7 @@
     assert adopted >= boxes, adopted
 
 
-@then("at least 1 look in {part:d} was given up")
+@then("at least 1 poll in {part:d} timed out")
 def many_timed_out(context, part):
     calls = context.calls
     assert calls.timed_out * part >= calls.calls, (calls.timed_out, calls.calls)
@@ -189,7 +188,7 @@
     context.budget = PollBudget(connections)
 
 
-@when("{boxes:d} boxes are looked at, of which {busy:d} work")
+@when("{boxes:d} boxes are polled, of which {busy:d} are busy")
 def poll_with_budget(context, boxes, busy):
     context.idle_waits, context.pauses, context.most = [], [], 0
     for number in range(boxes):
@@ -208,19 +207,22 @@
         context.most = max(context.most, context.budget.long_polls)
 
 
-@then("{most:d} looks wait at most, and no idle box's once {idle:d} do")
+@then(
+    "at most {most:d} long polls are under way, "
+    "and no idle box gets one once {idle:d} are"
+)
 def bounded(context, most, idle):
     assert context.most == most, context.most
     assert max(context.idle_waits) < idle, max(context.idle_waits)
 
 
-@then("idle boxes are looked at {rate:d} times a second in all")
+@then("idle boxes are polled at most {rate:d} times a second in total")
 def idle_rate(context, rate):
     longest = max(context.pauses)
     assert len(context.pauses) / longest <= rate, (len(context.pauses), longest)
 
 
-@given("a keeper of an idle box for which there is no connection to wait on")
+@given("a poller of an idle box without a connection for long polls")
 def idle_poller(context):
     context.scheduler, context.calls = FakeScheduler(1), Boxes(0.0)
     context.budget = PollBudget(0)
@@ -229,41 +231,41 @@
 @when("a task is started there after {seconds:g} seconds")
 def started_after(context, seconds):
     async def script():
-        poll = make_poller("b0", context.calls, context.scheduler, context.budget)
+        poller = make_poller("b0", context.calls, context.scheduler, context.budget)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(poll.run)
+            tasks.start_soon(poller.run)
             await anyio.sleep(seconds)
             context.before = len(context.calls.polled)
             context.at = time.monotonic()
-            await poll.execute(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
+            await poller.execute(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
             await anyio.sleep(0.3)
             tasks.cancel_scope.cancel()
 
     anyio.run(script)
 
 
-@when("a task is placed and started there in the middle of a look of {span:g} seconds")
+@when("a task is placed and started there in the middle of a poll of {span:g} seconds")
 def started_meanwhile(context, span):
     context.calls = Boxes(span)
     box = context.scheduler.boxes["b0"]
     box.adopted = True
 
     async def script():
-        poll = make_poller("b0", context.calls, context.scheduler, context.budget)
+        poller = make_poller("b0", context.calls, context.scheduler, context.budget)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(poll.run)
+            tasks.start_soon(poller.run)
             await anyio.sleep(span / 2)
             context.before = len(context.calls.polled)
             context.at = time.monotonic()
             box.tasks["t"] = None
-            await poll.execute(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
+            await poller.execute(StartTask("b0", "1.0.0.0", 1, "s", "", ""))
             await anyio.sleep(span * 2)
             tasks.cancel_scope.cancel()
 
     anyio.run(script)
 
 
-@then("the box is looked at within {seconds:g} seconds")
+@then("the box is polled within {seconds:g} seconds")
 def polled_within(context, seconds):
     after = context.calls.polled[context.before :]
     assert after and after[0][1] - context.at < seconds, after
@@ -328,7 +330,8 @@
 
 
 @then(
-    "{count:d} were answered, the others not sent, and {most:d} connections are open at most"
+    "{count:d} were answered, the others not sent, "
+    "and {most:d} connections are open at most"
 )
 def some_answered(context, count, most):
     failed = [o for o in context.outcomes if isinstance(o, CallFailure)]
@@ -358,7 +361,7 @@
         context.link.connect(f"p{number}", "127.0.0.1:1")
 
 
-@then("it goes on with those it reached, and says once that others were not")
+@then("it keeps those it reached, and reports once that others were not")
 def keeps_reached_peers(context):
     assert context.link.connections == 3
     assert context.reported == ["p3"], context.reported
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over limits of tries, bytes and entries."""
+"""Steps for limits of attempts, bytes and entries."""
 
 import collections
 import json
@@ -40,12 +40,12 @@
 from granitetrestle_standins.shardworld import ShardWorld
 
 
-@when("somebody raises the jobs' epoch by {steps:d} steps, without a word to anybody")
+@when("the jobs' epoch is raised by {steps:d} steps, unknown to all processes")
 def raise_epoch(context, steps):
     cluster = context.cluster
     leader = cluster.leader()
     (line,) = [x for x in cluster.log(leader) if x["event"] == "took_over"]
-    # An epoch that no process would choose, above all others of its step.
+    # Above all epochs of its step that a process may choose.
     step = (line["epoch"] >> ADDRESS_BITS) + steps
     epoch = (step + 1 << ADDRESS_BITS) - 1
     context.epoch = epoch
@@ -57,7 +57,7 @@
     assert answer.status == 200, answer
 
 
-@then("a process decides again within {seconds:g} seconds, and a job completes")
+@then("a process leads again within {seconds:g} seconds, and a job completes")
 def decides_again(context, seconds):
     cluster = context.cluster
 
@@ -69,7 +69,7 @@
             if line["event"] == "took_over" and line["epoch"] > context.epoch
         ]
 
-    cluster.wait(took_over, "a decider above the epoch", seconds)
+    cluster.wait(took_over, "a leader above the epoch", seconds)
     job = "00000000000000f2"
     cluster.submit(job, [{"count": 2, "cpu": 1000, "mem_mb": 100}])
     cluster.wait(lambda: cluster.state(job) == "completed", job)
@@ -137,7 +137,7 @@
 QUEUE = Queue("q", "host", "/q/", "pool", 0, 3, 1.5, 1.0)
 
 
-@when("a job is handed in whose record has {size:d} bytes, where {most:d} are taken")
+@when("a job is submitted whose record has {size:d} bytes, where {most:d} are allowed")
 def submit_long_job(context, size, most):
     async def confirm():
         return True
@@ -161,15 +161,15 @@
         call = ClientCall("POST", "host", f"/q/{'a' * 16}", body)
         return anyio.run(FrontResponder(most).answer, session, "r", call)
 
-    # Within the labels from 256 to 65,535 bytes one more makes the record one longer.
+    # With labels of 256 to 65,535 bytes, one more byte lengthens the record by one.
     assert answer("x" * 1000).status == 200
     shorter = record_bytes(context.taken.submission)
     context.answer = answer("x" * (1000 + size - shorter))
 
 
 def record_bytes(submission):
-    """Return how long a job's record is in a call, as the store counts it: the length of
-    its key (1 byte), the key, the value."""
+    """Return the size of a job's record in a call, as the store counts it: the length
+    of its key (1 byte), the key, the value."""
     scheduler = Scheduler(ShardWorld(1, 0).parameters, 0.0)
     scheduler.handle_call("r", SubmitJob(submission), 0.0)
     (record,) = scheduler.take_writes()
@@ -181,7 +181,7 @@
     assert context.answer.status == status, context.answer
 
 
-@when("a box answers a look with {megabytes:d} megabytes of checkpoints")
+@when("a box answers a poll with {megabytes:d} megabytes of checkpoints")
 def long_poll_answer(context, megabytes):
     checkpoint = "c" * 10_000
     context.count = megabytes * 100
@@ -203,21 +203,21 @@
             tasks.start_soon(listener.serve, serve)
             boxes = PlatformBoxes(Caller())
             address = f"127.0.0.1:{port}"
-            # The look goes over the connection that an order has opened.
-            await boxes.stop(TaskCommand("life", address, "task", 1), 1)
-            context.poll = await boxes.poll("life", address, 1, 0, None, 0)
+            # The poll uses the connection that a command has opened.
+            await boxes.stop(TaskCommand("incarnation", address, "task", 1), 1)
+            context.poll = await boxes.poll("incarnation", address, 1, 0, None, 0)
             tasks.cancel_scope.cancel()
 
     anyio.run(poll)
 
 
-@then("all its tasks are seen")
+@then("all its tasks are listed")
 def all_tasks_listed(context):
     assert isinstance(context.poll, PollResult), context.poll
     assert len(context.poll.running) == context.count
 
 
-@given("{count:d} boxes alike, of which advice names {which} as good for a step")
+@given("{count:d} equal boxes, of which advice names {which} as suitable for a step")
 def advised_boxes(context, count, which):
     world = ShardWorld(1, count)
     scheduler = context.scheduler = Scheduler(world.parameters, 0.0)
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over a decider behind a small link."""
+"""Steps for a leader behind a small link."""
 
 import time
 
@@ -29,7 +29,7 @@
 
 
 class Link:
-    """Carries one call after the other."""
+    """A link that carries one call after the other."""
 
     def __init__(self, calls_per_s):
         self.call_s = 1.0 / calls_per_s
@@ -52,7 +52,7 @@
 
 
 class Scheduler:
-    """As much of one as a keeper asks."""
+    """The part of a scheduler that a poller uses."""
 
     class fleet:
         @staticmethod
@@ -72,7 +72,7 @@
         return []
 
 
-@given("{boxes:d} boxes behind a link that carries {rate:g} orders a second")
+@given("{boxes:d} boxes behind a link that carries {rate:g} commands a second")
 def behind_link(context, boxes, rate):
     context.boxes, context.link = boxes, Link(rate)
 
@@ -100,25 +100,25 @@
         ]
         async with anyio.create_task_group() as tasks:
 
-            def command(number, best_effort):
+            def start_task(number, best_effort):
                 poller = pollers[number % len(pollers)]
                 incarnation = f"b{number % len(pollers)}"
                 start = StartTask(incarnation, f"{number}", 1, "s", "", "", best_effort)
                 tasks.start_soon(poller.execute, start)
 
             for number in range(count):
-                command(number, True)
+                start_task(number, True)
             await anyio.sleep(after)
             context.asked = time.monotonic()
             for number in range(urgent):
-                command(1000 + number * 7, False)
+                start_task(1000 + number * 7, False)
 
     anyio.run(script)
 
 
 @when(
-    "{count:d} starts of what fills are ordered at once, "
-    "and {after:g} seconds later {urgent:d} urgent ones"
+    "{count:d} best-effort starts are sent at once, "
+    "and {after:g} seconds later {urgent:d} short ones"
 )
 def burst_through_window(context, count, after, urgent):
     context.urgent = urgent
@@ -126,32 +126,32 @@
     burst(context, CommandWindow(), count, after, urgent)
 
 
-@when("the same comes to a decider whose order window is switched off")
+@when("the same is sent with the command window switched off")
 def burst_without_window(context):
     burst(context, UnlimitedWindow(), 240, 0.3, 6)
 
 
-@then("at most {most:g} in 100 calls were given up, and each start was carried out")
+@then("at most {most:g} in 100 calls timed out, and each start was carried out")
 def few_timed_out(context, most):
     link = context.link
     assert link.timed_out <= most / 100 * link.calls, (link.timed_out, link.calls)
     assert len(link.started) == context.count + context.urgent
 
 
-@then("at least {least:g} in 100 calls were given up")
+@then("at least {least:g} in 100 calls timed out")
 def many_timed_out(context, least):
     link = context.link
     assert link.timed_out >= least / 100 * link.calls, (link.timed_out, link.calls)
 
 
-@then("the urgent ones were answered within {seconds:g} seconds")
+@then("the short ones were answered within {seconds:g} seconds")
 def urgent_answered(context, seconds):
     times = [at for task, at in context.link.started.items() if int(task) >= 1000]
     took = max(times) - context.asked
     assert took <= seconds, took
 
 
-@given("an order window through which {count:d} orders went, answered in {ms:g} ms")
+@given("a command window that sent {count:d} commands, answered in {ms:g} ms each")
 def warm_window(context, count, ms):
     context.now = 10.0
     context.window = CommandWindow(lambda: context.now)
@@ -160,7 +160,7 @@
         context.window.record_answer(ms / 1000.0)
 
 
-@when("{count:d} orders go by turns to a box that answers and to one that is gone")
+@when("{count:d} commands go alternately to a box that answers and to one that is gone")
 def answers_and_no_answers(context, count):
     for number in range(count):
         context.now += 0.02
@@ -170,12 +170,12 @@
             context.window.record_answer(0.006)
 
 
-@then("it still lets at least {least:d} orders go at once")
+@then("it still allows at least {least:d} commands in flight")
 def window_is_at_least(context, least):
     assert context.window.size >= least, context.window.size
 
 
-@given("a decider with {boxes:d} free boxes that may send {most:d} orders soon")
+@given("a leader with {boxes:d} free boxes that may send {most:d} commands soon")
 def free_boxes_and_capacity(context, boxes, most):
     context.load = Load(boxes, 3)
     context.most = most
@@ -197,7 +197,7 @@
     context.load.scheduler.handle_call(job, call, context.load.now)
 
 
-@when("a job of {count:d} tasks that fill waits, and then an urgent one of {few:d}")
+@when("a job of {count:d} best-effort tasks waits, and then one of {few:d} short tasks")
 def best_effort_then_urgent(context, count, few):
     submit_job(
         context, "a" * 16, "fill", count=count, cpu=1000, best_effort=True, image="f"
@@ -207,14 +207,14 @@
     context.then = place_starts(context)
 
 
-@then("10 of the first are started, and the urgent ones before any more of them")
+@then("10 of the first are started, and the short ones before any more of them")
 def urgent_before(context):
     assert [command.task[0] for command in context.first] == ["a"] * 10, context.first
     tasks = [command.task[0] for command in context.then]
     assert tasks[:4] == ["b"] * 4 and len(tasks) == 10, tasks
 
 
-@when("a job's order waits for its turn while its box says that it leaves")
+@when("a job's start waits for its turn while its box starts to drain")
 def box_leaves(context):
     submit_job(context, "a" * 16, "short", count=1, cpu=1000)
     load = context.load
@@ -231,7 +231,7 @@
     load.scheduler.fleet.update_boxes(entries, load.now)
 
 
-@then("it is not wanted any more, and its task starts elsewhere at once")
+@then("it is withdrawn, and its task starts elsewhere at once")
 def withdrawn_and_restarted(context):
     scheduler, command, now = context.load.scheduler, context.command, context.load.now
     assert not scheduler.confirm_start(command, context.load.now)
@@ -244,7 +244,8 @@
 
 
 @when(
-    "its own event loop falls {lag:g} seconds behind, and {count:d} answers take {s:g} seconds"
+    "its own event loop lags by {lag:g} seconds, "
+    "and {count:d} answers take {s:g} seconds"
 )
 def lag_event_loop(context, lag, count, s):
     for _ in range(count):
@@ -254,7 +255,7 @@
 
 
 class PolledBox:
-    """A box that is looked at."""
+    """A box that is polled."""
 
     entry = None
     adopted = True
@@ -265,7 +266,7 @@
 
 
 class PollingScheduler:
-    """As much of a decider as looking asks."""
+    """The part of a scheduler that polling uses."""
 
     class fleet:
         @staticmethod
@@ -290,14 +291,12 @@
         return BoxNoAnswer("nothing new")
 
 
-@given("a keeper of a box that answers each look at once, and does not wait")
+@given("a poller of a box that answers each poll at once")
 def quick_box(context):
     context.quick = QuickBox()
 
 
-@when(
-    "it looks for {span:g} seconds, and then its event loop is {lag:g} seconds behind"
-)
+@when("it polls for {span:g} seconds, and then its event loop lags by {lag:g} seconds")
 def poll_then_lag(context, span, lag):
     async def script():
         measured = LoopLag()
@@ -325,7 +324,7 @@
     anyio.run(script)
 
 
-@then("it looks at most a third as often")
+@then("it polls at most a third as often")
 def polls_less_often(context):
     after = context.quick.polls - context.before
     assert 0 < after <= context.before / 3, (context.before, after)
