--- a/src/granitetrestle/boxpoller.py
+++ b/src/granitetrestle/boxpoller.py
@@ -34,7 +34,7 @@
 # A poll waits this long for ends to become durable, then goes out without them to renew
 # the lease.
 ENDS_DURABLE_TIMEOUT_S: t.Final = 0.8
-# After failed polls in a row; the last one repeats.
+# Delays after consecutive failed polls; the last one repeats.
 RETRY_DELAYS_S: t.Final = (0.1, 0.2, 0.4, 0.8)
 # Above this lag of its event loop a leader delays its polls, by the excess times the
 # factor. The maximum keeps a lease of some seconds from lapsing.
