--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -262,7 +262,7 @@
     silent_since = None
     tasks = ()
     incarnation = "b"
-    known = durable_end = 0
+    applied_end = durable_end = 0
 
 
 class PollingScheduler:
