--- a/features/rights.py
+++ b/features/rights.py
@@ -7,10 +7,10 @@
     """A lease that is always valid and has a given age."""
 
     def __init__(self, age_s=0.0):
-        self.age = age_s
+        self.given_age_s = age_s
 
     def age_s(self):
-        return self.age
+        return self.given_age_s
 
     def may_renew(self):
         return True
@@ -22,4 +22,4 @@
         pass
 
 
-CONFIRMED = FixedLeaderLease()
+CONFIRMED_LEASE = FixedLeaderLease()
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -28,7 +28,7 @@
 from granitetrestle.peerlink import PeerLink
 from granitetrestle.pollbudget import PollBudget
 from granitetrestle_standins.nativecluster import free_port
-from rights import CONFIRMED
+from rights import CONFIRMED_LEASE
 
 CALL_TIMEOUT_S = 0.7
 
@@ -114,7 +114,7 @@
         calls,
         scheduler,
         lambda decisions: None,
-        CONFIRMED,
+        CONFIRMED_LEASE,
         NodeMetrics(),
         CommandWindow(),
         LoopLag(),
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -48,30 +48,30 @@
     ]
     while not any(box.running for box in others) and world.now - context.since < 20.0:
         world.advance(0.05)
-    took = world.now - context.since
-    assert took <= seconds, took
+    took_s = world.now - context.since
+    assert took_s <= seconds, took_s
 
 
 @when("a lasting task runs, and its box is cut off and back while the store is away")
-def back_without_store(context):
+def box_returns_without_store(context):
     world = context.world
     context.task = lasting_task(context)
     world.cut[context.task.box] = world.now + 2.0
     world.advance(1.8)
-    context.older = world.leader
-    context.older.without_store = True
+    context.former_leader = world.leader
+    context.former_leader.without_store = True
     world.advance(0.5)
 
 
 @when(
     "a successor takes over that does not reach the box, and the older one still does"
 )
-def parted(context):
+def both_leaders_renew(context):
     world = context.world
     world.take_over()
     world.leader.cut_from.add(context.task.box)
     # Any other box would tell it of the newer epoch.
-    context.older.cut_from.update(world.entries.keys() - {context.task.box})
+    context.former_leader.cut_from.update(world.entries.keys() - {context.task.box})
     world.advance(20.0)
 
 
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -19,7 +19,7 @@
 from session_world import SessionWorld
 
 # Long enough for what was let go to leave.
-AFTER_S = 1.5
+SETTLE_S = 1.5
 
 
 def job(tasks, name="1"):
@@ -43,32 +43,32 @@
     boxes.start = slow_start
 
 
-def successor(context):
+def claim_epoch_for_successor(context):
     """Let another process raise the epoch; it has not reached the box yet."""
     record = EpochClaim.record(2, "another")
     context.world.store.model.append(JOBS_TOPIC, [record], Writer(2, 1))
 
 
-def stand_still(seconds):
+def block_process(seconds):
     """Stop the whole process, as a signal or a busy machine does."""
     time.sleep(seconds)
 
 
-async def has_begun(context, starts):
+async def wait_for_starts(context, starts):
     with anyio.fail_after(5.0):
         while len(context.arrived) < starts:
             await anyio.sleep(0.005)
 
 
-def play(context, tasks, meanwhile):
+def run_session(context, tasks, meanwhile):
     async def script():
         async with context.world.session(1) as session:
             async with anyio.create_task_group() as group:
                 group.start_soon(session.call, "r", SubmitJob(job(tasks)))
-                await has_begun(context, 1)
+                await wait_for_starts(context, 1)
             await meanwhile(session)
             context.since = time.monotonic()
-            await anyio.sleep(AFTER_S)
+            await anyio.sleep(SETTLE_S)
             context.over = session.over
 
     anyio.run(script)
@@ -80,20 +80,20 @@
 )
 def stands_still(context, tasks, seconds):
     async def meanwhile(session):
-        successor(context)
-        stand_still(seconds)
+        claim_epoch_for_successor(context)
+        block_process(seconds)
 
-    play(context, tasks, meanwhile)
+    run_session(context, tasks, meanwhile)
 
 
 @when("it has {tasks:d} tasks to start there, and stands still for {seconds:g} seconds")
 def only_stands_still(context, tasks, seconds):
     async def meanwhile(session):
-        stand_still(seconds)
+        block_process(seconds)
         # Eight starts, four at a time, and the tasks' own time.
         await anyio.sleep(2.0)
 
-    play(context, tasks, meanwhile)
+    run_session(context, tasks, meanwhile)
 
 
 @when(
@@ -102,10 +102,10 @@
 )
 def hears_of_another(context, tasks):
     async def meanwhile(session):
-        successor(context)
+        claim_epoch_for_successor(context)
         session.observe_epoch(2)
 
-    play(context, tasks, meanwhile)
+    run_session(context, tasks, meanwhile)
 
 
 @when(
@@ -120,8 +120,8 @@
         outcome = await append(topic, records, writer, timeout_s)
         started = any(record.key.startswith("t/") for record in records)
         if started and isinstance(outcome, Appended):
-            successor(context)
-            stand_still(seconds)
+            claim_epoch_for_successor(context)
+            block_process(seconds)
             context.since = time.monotonic()
         return outcome
 
@@ -129,9 +129,9 @@
 
     async def script():
         async with context.world.session(1) as session:
-            with anyio.move_on_after(AFTER_S + seconds):
+            with anyio.move_on_after(SETTLE_S + seconds):
                 await session.call("r", SubmitJob(job(8)))
-                await anyio.sleep(AFTER_S)
+                await anyio.sleep(SETTLE_S)
             context.over = session.over
 
     anyio.run(script)
@@ -142,18 +142,18 @@
     async def script():
         async with context.world.session(1) as session:
             context.waits = []
-            confirmed = session._leader_lease.wait_until_valid
+            wait_until_valid = session._leader_lease.wait_until_valid
 
             async def measured():
-                began = time.perf_counter()
-                await confirmed()
-                context.waits.append(time.perf_counter() - began)
+                started_at = time.perf_counter()
+                await wait_until_valid()
+                context.waits.append(time.perf_counter() - started_at)
 
             session._leader_lease.wait_until_valid = measured
             for number in range(tasks // 8):
                 submission = job(8, f"{number + 1}")
                 await session.call(f"r{number}", SubmitJob(submission))
-                await has_begun(context, 8 * (number + 1))
+                await wait_for_starts(context, 8 * (number + 1))
 
     anyio.run(script)
 
@@ -175,10 +175,10 @@
 
 @then(
     "half of its starts had to wait {half:g} ms or less for its right, and 99 in 100 "
-    "{most:g} ms or less"
+    "{maximum:g} ms or less"
 )
-def hardly_wait(context, half, most):
+def hardly_wait(context, half, maximum):
     waits = sorted(1000.0 * wait for wait in context.waits)
     assert len(waits) >= 100, len(waits)
     assert waits[len(waits) // 2] <= half, waits
-    assert waits[len(waits) * 99 // 100] <= most, waits
+    assert waits[len(waits) * 99 // 100] <= maximum, waits
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -23,7 +23,7 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from granitetrestle_bench.deciding import Load
-from rights import CONFIRMED
+from rights import CONFIRMED_LEASE
 
 CALL_TIMEOUT_S = 0.4
 
@@ -90,7 +90,7 @@
                 link,
                 scheduler,
                 lambda decisions: None,
-                CONFIRMED,
+                CONFIRMED_LEASE,
                 NodeMetrics(),
                 window,
                 LoopLag(),
@@ -307,7 +307,7 @@
             context.quick,
             PollingScheduler(),
             lambda decisions: None,
-            CONFIRMED,
+            CONFIRMED_LEASE,
             NodeMetrics(),
             CommandWindow(),
             measured,
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -41,7 +41,7 @@
 
 # What the store keeps of a job that completed, in MessagePack.
 ENDED = b"\x92\xa9completed\xa4work"
-LONGEST_S = 30.0
+TAKE_OVER_TIMEOUT_S = 30.0
 
 
 def ended_record(number):
@@ -58,8 +58,8 @@
         super().__init__()
         self.model = StoreModel(PLAIN._replace(page_size=size))
         self.server = StoreServer(self.model, random.Random(1))
-        self.change = {}
-        self.asked = collections.Counter()
+        self.page_changes = {}
+        self.requests_of_page = collections.Counter()
         ended = [ended_record(n) for n in range(count)]
         written = [
             *DigestTracker().with_digest(ended),
@@ -81,8 +81,8 @@
         reply = await self.server.handle(route, query, body)
         if route == "/api/log-newest" and query["topic"] == JOBS_TOPIC:
             number = self._number(query.get("depends_on"))
-            self.asked[number] += 1
-            reply = self.change.get(number, lambda reply: reply)(reply)
+            self.requests_of_page[number] += 1
+            reply = self.page_changes.get(number, lambda reply: reply)(reply)
         return Reply(reply.status, (), reply.body)
 
     def _number(self, after):
@@ -94,21 +94,21 @@
         return self.last_keys.index(after) + 1 if known else self.pages
 
 
-class Lines:
+class RecordingLog:
     """Keeps what a session logs."""
 
     def __init__(self):
-        self.lines = []
+        self.events = []
 
     def event(self, event, /, **fields):
-        self.lines.append((event, fields))
+        self.events.append((event, fields))
 
-    def only(self, wanted):
-        (fields,) = [fields for event, fields in self.lines if event == wanted]
+    def single(self, wanted):
+        (fields,) = [fields for event, fields in self.events if event == wanted]
         return fields
 
 
-class Failing:
+class FailingPage:
     """Refuses a page so many times."""
 
     def __init__(self, times):
@@ -119,7 +119,7 @@
         return Reply(503, (), b"{}") if self.times >= 0 else reply
 
 
-def ends_with(key):
+def ending_with(key):
     def change(reply):
         page = json.loads(reply.body)
         page["items"][-1]["key"] = key
@@ -128,7 +128,7 @@
     return change
 
 
-def empty(reply):
+def empty_page(reply):
     page = {**json.loads(reply.body), "items": [], "more": True}
     return Reply(200, (), json.dumps(page).encode())
 
@@ -143,22 +143,22 @@
 def fourth_page(context, what):
     keys = context.caller.last_keys
     changes = {
-        "ends with the third's key": ends_with(keys[2]),
-        "ends with the first's key": ends_with(keys[0]),
-        "is empty, with more to come": empty,
+        "ends with the third's key": ending_with(keys[2]),
+        "ends with the first's key": ending_with(keys[0]),
+        "is empty, with more to come": empty_page,
     }
-    context.caller.change[3] = changes[what]
+    context.caller.page_changes[3] = changes[what]
 
 
 @given("its fourth page fails {times:d} times")
 def fourth_fails(context, times):
-    context.caller.change[3] = Failing(times)
+    context.caller.page_changes[3] = FailingPage(times)
 
 
 @given("its fourth page fails {fourth:d} times, and its seventh {seventh:d} times")
 def two_fail(context, fourth, seventh):
-    context.caller.change[3] = Failing(fourth)
-    context.caller.change[6] = Failing(seventh)
+    context.caller.page_changes[3] = FailingPage(fourth)
+    context.caller.page_changes[6] = FailingPage(seventh)
     context.refused = {3: fourth, 6: seventh}
 
 
@@ -179,7 +179,7 @@
     start = stop = pace = poll
 
 
-class Turns:
+class LoopWatch:
     """How much processor time went by between two turns of the event loop.
 
     :ivar longest_s: in seconds.
@@ -189,21 +189,21 @@
         self.longest_s = 0.0
         self.last = time.process_time()
 
-    def turned(self):
+    def record_turn(self):
         now = time.process_time()
         self.longest_s = max(self.longest_s, now - self.last)
         self.last = now
 
     async def run(self):
         while True:
-            self.turned()
+            self.record_turn()
             await anyio.sleep(0.005)
 
 
 @when("a decider takes over")
 def takes_over(context):
-    context.log = Lines()
-    context.turns = Turns()
+    context.log = RecordingLog()
+    context.loop_watch = LoopWatch()
     store = PlatformStore("store", context.caller)
     boxes = SilentBoxes()
     sources = Sources(
@@ -215,21 +215,21 @@
         session = context.session = Session(
             sources, taken, SchedulerParameters(), context.log, NodeMetrics()
         )
-        with anyio.fail_after(LONGEST_S):
+        with anyio.fail_after(TAKE_OVER_TIMEOUT_S):
             async with anyio.create_task_group() as tasks:
 
                 def ready():
-                    context.turns.turned()
-                    began = time.process_time()
+                    context.loop_watch.record_turn()
+                    started_at = time.process_time()
                     gc.collect()
-                    context.collecting_s = time.process_time() - began
+                    context.collecting_s = time.process_time() - started_at
                     tasks.cancel_scope.cancel()
 
                 async def decide():
                     await session.run(ready)
                     tasks.cancel_scope.cancel()
 
-                tasks.start_soon(context.turns.run)
+                tasks.start_soon(context.loop_watch.run)
                 tasks.start_soon(decide)
 
     anyio.run(run)
@@ -243,10 +243,10 @@
 
 @then("it knows all jobs, and asked for each page once but for those that failed")
 def knows_all_but_failed(context):
-    assert context.log.only("took_over")["jobs"] == context.count
+    assert context.log.single("took_over")["jobs"] == context.count
     caller = context.caller
     wanted = {n: 1 + context.refused.get(n, 0) for n in range(caller.pages)}
-    assert dict(caller.asked) == wanted, caller.asked
+    assert dict(caller.requests_of_page) == wanted, caller.requests_of_page
 
 
 @then(
@@ -263,7 +263,10 @@
     ]
     # The last job of a kind may have some tasks more.
     assert count <= len(running) < count + 200, len(running)
-    assert context.turns.longest_s <= seconds, ("at once", context.turns.longest_s)
+    assert context.loop_watch.longest_s <= seconds, (
+        "at once",
+        context.loop_watch.longest_s,
+    )
 
 
 @then("collecting garbage took at most {seconds:g} seconds then")
@@ -289,7 +292,7 @@
 
 @then('that fails for "{why}", after {pages:d} pages with {records:d} records')
 def fails_for(context, why, pages, records):
-    fields = context.log.only("take_over_failed")
+    fields = context.log.single("take_over_failed")
     assert why in fields["reason"], fields
     assert fields["topic"] == JOBS_TOPIC, fields
     assert (fields["pages"], fields["records"]) == (pages, records), fields
@@ -297,22 +300,24 @@
 
 @then("the store was asked {times:d} times for pages")
 def asked_times(context, times):
-    assert context.caller.asked.total() == times, context.caller.asked
+    assert context.caller.requests_of_page.total() == times, (
+        context.caller.requests_of_page
+    )
 
 
 @when("all newest records are read, while a record is added with each page")
 def read_while_added(context):
     caller = context.caller
-    fails = caller.change[3]
+    failing_page = caller.page_changes[3]
 
     def adding(number):
         def change(reply):
             caller.model.append(JOBS_TOPIC, [ended_record(1000 + number)], None)
-            return fails(reply) if number == 3 else reply
+            return failing_page(reply) if number == 3 else reply
 
         return change
 
-    caller.change = {number: adding(number) for number in range(caller.pages)}
+    caller.page_changes = {number: adding(number) for number in range(caller.pages)}
     context.end = caller.model.end(JOBS_TOPIC)
     store = PlatformStore("store", caller)
     context.newest = anyio.run(read_newest, store, JOBS_TOPIC)
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -29,7 +29,7 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from granitetrestle.workflows import Workflow
-from rights import CONFIRMED
+from rights import CONFIRMED_LEASE
 
 # Slowdown of serving tasks by each best-effort image when it uses a whole box.
 SENSITIVITIES = {"bad": 5.0, "mild": 0.3}
@@ -227,7 +227,7 @@
             context.calls,
             scheduler,
             lambda decisions: None,
-            CONFIRMED,
+            CONFIRMED_LEASE,
             NodeMetrics(),
             CommandWindow(),
             LoopLag(),
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -116,7 +116,7 @@
             time.monotonic,
             lambda reason, waiting_s: None,
         )
-        began = time.monotonic()
+        started_at = time.monotonic()
         journal.hold("effect")
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(journal.run)
@@ -124,7 +124,7 @@
                 while not released:
                     await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
-        assert released and released[0] - began < seconds, released
+        assert released and released[0] - started_at < seconds, released
 
     anyio.run(context.server.run, context.count, script)
 
@@ -139,7 +139,7 @@
     assert (answer.status, answer.retry_after_s) == (503, seconds), answer
 
 
-class Relay:
+class TcpProxy:
     """Passes bytes on, both ways; connections told to be silent pass nothing."""
 
     def __init__(self, port):
@@ -190,7 +190,7 @@
 @when("the relay falls silent on the connections it has")
 def relay_silent(context):
     async def script():
-        relay = Relay(context.port)
+        proxy = TcpProxy(context.port)
         far = PeerLink("n2", "n2-1", "secret", f"127.0.0.1:{context.port}")
         near = PeerLink("n1", "n1-1", "secret", f"127.0.0.1:{free_port()}")
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -202,15 +202,15 @@
                 arrived.append((time.monotonic(), envelope.message.epoch))
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(listener.serve, relay.serve)
+            tasks.start_soon(listener.serve, proxy.serve)
             tasks.start_soon(receive)
             near.connect("n2", f"127.0.0.1:{port}")
             for number in range(1, 20):
                 near.send("n2", LeaderResigned(number))
                 await anyio.sleep(0.05)
             assert arrived, "nothing arrived before"
-            relay.fall_silent()
-            fell = time.monotonic()
+            proxy.fall_silent()
+            silent_at = time.monotonic()
             for number in range(1001, 1100):
                 near.send("n2", LeaderResigned(number))
                 await anyio.sleep(0.05)
@@ -218,7 +218,7 @@
                     break
             tasks.cancel_scope.cancel()
         assert arrived[-1][1] > 1000, "nothing arrived any more"
-        context.took_s = arrived[-1][0] - fell
+        context.took_s = arrived[-1][0] - silent_at
         far.close()
         near.close()
 
@@ -277,9 +277,9 @@
     assert answer.status == 503 and answer.retry_after_s, answer
 
 
-TICK = 0.1
-REPORT = 0.4
-BEAT_LOST = 1.4
+TICK_S = 0.1
+REPORT_INTERVAL_S = 0.4
+HEARTBEAT_TIMEOUT_S = 1.4
 
 
 class ModelProcess:
@@ -292,10 +292,10 @@
         self.leadership = Leadership(name, start, jitter)
         self.known_at = start + world.store_s
         self.busy_until = 0.0
-        self.trying = False
-        self.plan = None
-        self.beat_seen = None
-        self.reported = start
+        self.attempting = False
+        self.pending_step = None
+        self.heartbeat_seen_at = None
+        self.reported_at = start
 
     def tick(self, now):
         leadership = self.leadership
@@ -306,51 +306,51 @@
             for other in self.world.processes:
                 leadership.add_known_node(other.name)
             leadership.record_leader(self.world.old_epoch, "n00", now)
-            self.beat_seen = now
-        if now - self.reported >= REPORT:
+            self.heartbeat_seen_at = now
+        if now - self.reported_at >= REPORT_INTERVAL_S:
             self.report(now)
         leadership.update_majority(now)
-        if self.plan is not None:
-            when, step = self.plan
+        if self.pending_step is not None:
+            when, step = self.pending_step
             if now >= when:
-                self.plan = None
+                self.pending_step = None
                 step(now)
             return
         if leadership.leader == self.name or not leadership.is_take_over_due(now):
             return
         if leadership.lacks_stable_majority(now):
-            self.plan = (now + self.world.store_s, self.asked)
+            self.pending_step = (now + self.world.store_s, self.check_heartbeat)
         else:
-            self.begin(now)
+            self.start_attempt(now)
 
-    def asked(self, now):
-        stands = now - self.beat_seen
-        if stands < BEAT_LOST + self.leadership.stagger_s(now):
+    def check_heartbeat(self, now):
+        unchanged_s = now - self.heartbeat_seen_at
+        if unchanged_s < HEARTBEAT_TIMEOUT_S + self.leadership.stagger_s(now):
             return
         if self.leadership.is_take_over_due(now):
-            self.begin(now)
+            self.start_attempt(now)
 
-    def begin(self, now):
-        self.trying = True
+    def start_attempt(self, now):
+        self.attempting = True
         self.leadership.record_attempt(now)
         self.report(now)
-        self.plan = (now + self.world.store_s, self.read)
+        self.pending_step = (now + self.world.store_s, self.read_registry)
 
-    def read(self, now):
+    def read_registry(self, now):
         if self.world.epoch > self.leadership.epoch:
-            self.trying = False
+            self.attempting = False
             return
-        self.plan = (now + self.world.store_s, self.append)
+        self.pending_step = (now + self.world.store_s, self.claim_epoch)
 
-    def append(self, now):
-        self.trying = False
+    def claim_epoch(self, now):
+        self.attempting = False
         self.world.epoch += 1
-        self.world.taken.append(now)
+        self.world.claimed_at.append(now)
         self.leadership.record_take_over(self.world.epoch, now)
         self.report(now)
 
     def report(self, now):
-        self.reported = now
+        self.reported_at = now
         leadership = self.leadership
         status = NodeStatus(
             self.name,
@@ -361,7 +361,7 @@
             True,
             True,
             1.0,
-            taking_over=self.trying,
+            taking_over=self.attempting,
         )
         for other in self.world.processes:
             if other is not self and other.known_at is None:
@@ -375,7 +375,7 @@
         self.random = random.Random(seed)
         self.store_s = store_s
         self.old_epoch = self.epoch = 7 << 24
-        self.taken = []
+        self.claimed_at = []
         self.processes = []
         first = 0 if returns else 1
         for number in range(first, count):
@@ -383,11 +383,11 @@
             self.processes.append(ModelProcess(self, f"n{number:02}", start))
 
     def run(self, seconds):
-        ticks = [(p, 10.0 + self.random.random() * TICK) for p in self.processes]
+        ticks = [(p, 10.0 + self.random.random() * TICK_S) for p in self.processes]
         events = sorted(
-            (phase + step * TICK, index)
+            (phase + step * TICK_S, index)
             for index, (_, phase) in enumerate(ticks)
-            for step in range(int(seconds / TICK))
+            for step in range(int(seconds / TICK_S))
         )
         for now, index in events:
             self.processes[index].tick(now)
@@ -413,10 +413,10 @@
 
 @then("one process takes over, in {seconds:g} seconds at the median")
 def one_takes_over(context, seconds):
-    counts = [len(world.taken) for world in context.worlds]
+    counts = [len(world.claimed_at) for world in context.worlds]
     assert counts == [1] * len(counts), counts
-    took = statistics.median(world.taken[0] - 10.3 for world in context.worlds)
-    assert took <= seconds, took
+    median_s = statistics.median(world.claimed_at[0] - 10.3 for world in context.worlds)
+    assert median_s <= seconds, median_s
 
 
 @given("a decider that knows its peers from the store alone")
@@ -465,7 +465,7 @@
     "its machine is suspended for {seconds:g} seconds, which the steady clock leaves out"
 )
 def suspended(context, seconds):
-    context.slept = seconds
+    context.suspended_s = seconds
 
 
 @then("it renews no lease, and asks the store before it answers")
@@ -474,7 +474,7 @@
     assert session._leader_lease.may_renew()
     assert anyio.run(session.confirm) and not session.append_requests
     with unittest.mock.patch.object(
-        steadyclock, "now", lambda: time.monotonic() + context.slept
+        steadyclock, "now", lambda: time.monotonic() + context.suspended_s
     ):
         assert not session._leader_lease.may_renew()
         assert anyio.run(session.confirm)
--- a/features/steps/store_reading_steps.py
+++ b/features/steps/store_reading_steps.py
@@ -21,9 +21,9 @@
 from granitetrestle_standins.shardworld import ShardWorld
 from granitetrestle_standins.storereadings import READINGS
 
-TOPIC = "keyed.t"
+TEST_TOPIC = "keyed.t"
 RECORD = Record("p/1", b"x")
-ONE = (Step(1, 500, 100, 0, 300),)
+ONE_TASK = (Step(1, 500, 100, 0, 300),)
 
 
 @given(
@@ -32,19 +32,19 @@
 )
 def appended_nothing(context, name):
     context.model = StoreModel(READINGS[name])
-    context.model.append(TOPIC, (), Writer(1, 1))
-    context.model.append(TOPIC, (), Writer(1, 2))
+    context.model.append(TEST_TOPIC, (), Writer(1, 1))
+    context.model.append(TEST_TOPIC, (), Writer(1, 2))
 
 
 @when("it appends a record under number 2")
 def appends_record(context):
-    context.answer = context.model.append(TOPIC, [RECORD], Writer(1, 2))
+    context.answer = context.model.append(TEST_TOPIC, [RECORD], Writer(1, 2))
 
 
 @then("the store answered that it ends at {end:d}, and holds {count:d} records")
 def answered(context, end, count):
     assert context.answer == Appended(end), context.answer
-    assert len(context.model.topics[TOPIC]) == count
+    assert len(context.model.topics[TEST_TOPIC]) == count
 
 
 @given('a store with the reading "{name}" and {count:d} keys')
@@ -56,17 +56,17 @@
 
 def write_all(context, value):
     records = [Record(key, value) for key in context.keys]
-    context.model.append(TOPIC, records, None)
+    context.model.append(TEST_TOPIC, records, None)
 
 
 @when("every key changes after the first page was read")
 def all_change(context):
-    page = context.model.page(TOPIC, "")
+    page = context.model.page(TEST_TOPIC, "")
     context.first = page.records
     context.later = []
     write_all(context, b"new")
     while page.more:
-        page = context.model.page(TOPIC, page.records[-1].key)
+        page = context.model.page(TEST_TOPIC, page.records[-1].key)
         context.later += page.records
 
 
@@ -81,37 +81,38 @@
 @given("a store on which an append under number 2 got no answer, to be done later")
 def late_append(context):
     context.model = StoreModel(READINGS["late"])
-    context.model.append(TOPIC, (), Writer(1, 1))
-    context.model.append_later(1.5, TOPIC, [RECORD], Writer(1, 2))
+    context.model.append(TEST_TOPIC, (), Writer(1, 1))
+    context.model.append_later(1.5, TEST_TOPIC, [RECORD], Writer(1, 2))
 
 
 @when("{before}, and then the time of the late append comes")
 def time_comes(context, before):
     context.model.tick(1.4)
-    assert context.model.end(TOPIC) == 0
+    assert context.model.end(TEST_TOPIC) == 0
     if before == "the same append is retried":
-        context.model.append(TOPIC, [RECORD], Writer(1, 2))
+        context.model.append(TEST_TOPIC, [RECORD], Writer(1, 2))
     elif before == "a newer epoch begins":
-        context.model.append(TOPIC, (), Writer(2, 1))
+        context.model.append(TEST_TOPIC, (), Writer(2, 1))
     context.model.tick(1.6)
 
 
 @then("the store holds {count:d} records of it")
 def holds(context, count):
-    assert context.model.topics[TOPIC] == [RECORD] * count
+    assert context.model.topics[TEST_TOPIC] == [RECORD] * count
 
 
 @given("a writer that appended records under the numbers 2 to 9")
 def appended_many(context):
     context.model = StoreModel()
     for number in range(2, 10):
-        context.model.append(TOPIC, [RECORD], Writer(1, number))
+        context.model.append(TEST_TOPIC, [RECORD], Writer(1, number))
 
 
 @when("it repeats the numbers 5 and 4")
 def repeats(context):
     context.answers = [
-        context.model.append(TOPIC, [RECORD], Writer(1, number)) for number in (5, 4)
+        context.model.append(TEST_TOPIC, [RECORD], Writer(1, number))
+        for number in (5, 4)
     ]
 
 
@@ -121,13 +122,13 @@
 )
 def repeats_answered(context, wanted):
     assert context.answers == [Appended(4), OutOfSequence(wanted)], context.answers
-    assert len(context.model.topics[TOPIC]) == 8
+    assert len(context.model.topics[TEST_TOPIC]) == 8
 
 
 @given("a journal on a store where an empty append takes its number")
 def journal(context):
     context.model = StoreModel(READINGS["numbered"])
-    context.model.append(TOPIC, (), Writer(1, 1))
+    context.model.append(TEST_TOPIC, (), Writer(1, 1))
 
 
 @when("it confirms itself for a while, and then a decision is written and let go")
@@ -135,17 +136,17 @@
     context.released = []
     due = []
 
-    def take():
-        taken = list(due)
+    def pop_due():
+        popped = list(due)
         due.clear()
-        return taken
+        return popped
 
     async def play():
         journal = Journal(
             MemoryStore(context.model),
-            TOPIC,
+            TEST_TOPIC,
             1,
-            take,
+            pop_due,
             context.released.extend,
             time.monotonic,
             lambda reason, waiting_s: None,
@@ -167,7 +168,7 @@
 @then("the store holds the decision that was let go")
 def decision_held(context):
     assert context.released == ["effect"], context.released
-    held = [r for r in context.model.topics[TOPIC] if r.key != DIGEST_KEY]
+    held = [r for r in context.model.topics[TEST_TOPIC] if r.key != DIGEST_KEY]
     assert held == [RECORD], f"let go, and the store holds {held}"
 
 
@@ -180,7 +181,7 @@
 def accepted_then_taken_over(context):
     world = context.world
     world.advance(1.0)
-    context.job = world.submit(ONE)
+    context.job = world.submit(ONE_TASK)
     world.advance(0.2)
     assert context.job in world.accepted
     world.kill()
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -21,7 +21,7 @@
 from session_world import TruncatedReadStore
 
 # Longer than a decider without news waits before it confirms itself.
-PAUSE_S = 0.6
+IDLE_PAUSE_S = 0.6
 
 
 @given("a store that counts only appends with records, and {boxes:d} boxes")
@@ -67,7 +67,7 @@
         async with world.session(1) as session:
             for _ in range(3):
                 await world.run_job(session, tasks)
-                await anyio.sleep(PAUSE_S)
+                await anyio.sleep(IDLE_PAUSE_S)
             await world.run_job(session, tasks)
         world.store._readings = getattr(context, "readings", 0)
         async with world.session(2) as session:
@@ -113,7 +113,7 @@
 def ran_once(context):
     world = context.world
     runs = collections.Counter(task for task, _, _ in world.boxes.runs())
-    again = sorted(task for task, count in runs.items() if count > 1)
-    assert not again, f"started again: {again}; {world.lines('append_not_kept')}"
+    repeated = sorted(task for task, count in runs.items() if count > 1)
+    assert not repeated, f"started again: {repeated}; {world.lines('append_not_kept')}"
     known = dict.fromkeys(world.completed, "completed")
     assert context.states == known, f"known: {context.states}, of {world.completed}"
--- a/src/granitetrestle/newestread.py
+++ b/src/granitetrestle/newestread.py
@@ -48,7 +48,7 @@
         self._after: str | None = None
         self._pages = 0
 
-    async def resume(self, timeout_s: float) -> NewestRecords | NewestUnavailable:
+    async def read_pages(self, timeout_s: float) -> NewestRecords | NewestUnavailable:
         """Read up to the last page, or to one that fails.
 
         :param timeout_s: timeout of each page.
@@ -94,7 +94,7 @@
     reader = NewestReader(store, topic, min_end)
     attempts = pages = 0
     while True:
-        outcome = await reader.resume(PAGE_TIMEOUT_S)
+        outcome = await reader.read_pages(PAGE_TIMEOUT_S)
         if isinstance(outcome, NewestRecords):
             return outcome
         attempts = attempts + 1 if outcome.pages == pages else 1
--- a/src/granitetrestle/registry.py
+++ b/src/granitetrestle/registry.py
@@ -91,7 +91,9 @@
 
     async def read(self) -> RegistryEntries | StoreUnavailable:
         """Return all processes and the newest leader."""
-        outcome = await NewestReader(self._store, NODES_TOPIC).resume(READ_TIMEOUT_S)
+        outcome = await NewestReader(self._store, NODES_TOPIC).read_pages(
+            READ_TIMEOUT_S
+        )
         if isinstance(outcome, NewestUnavailable):
             return StoreUnavailable(outcome.reason)
         nodes: dict[str, NodeEntry] = {}
--- a/src/granitetrestle/succession.py
+++ b/src/granitetrestle/succession.py
@@ -119,7 +119,7 @@
         reader = NewestReader(self._store, JOBS_TOPIC, self._claim.end)
         pages, attempts, since = 0, 0, time.monotonic()
         while True:
-            outcome = await reader.resume(PAGE_TIMEOUT_S)
+            outcome = await reader.read_pages(PAGE_TIMEOUT_S)
             if not isinstance(outcome, NewestUnavailable):
                 return outcome
             now = time.monotonic()
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -221,9 +221,9 @@
         (
             (
                 "succession.py",
-                "            outcome = await reader.resume(PAGE_TIMEOUT_S)",
+                "            outcome = await reader.read_pages(PAGE_TIMEOUT_S)",
                 "            reader = NewestReader(self._store, JOBS_TOPIC, 0)\n"
-                "            outcome = await reader.resume(PAGE_TIMEOUT_S)",
+                "            outcome = await reader.read_pages(PAGE_TIMEOUT_S)",
             ),
         ),
         "take_over_pages",
