--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over who takes over, by the reports that a process hears."""
+"""Steps of the scenarios about take-overs, decided from the reports of processes."""
 
 from behave import given
 from behave import then
@@ -175,4 +175,4 @@
     assert context.leadership.best_successor(1.4) == "n2", (
         "the one that is ready goes first"
     )
-    assert context.leadership.best_successor(9.0) == "", "nobody is heard any more"
+    assert context.leadership.best_successor(9.0) == "", "no peer is heard any more"
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over leases that a decider renews no more."""
+"""Steps of the scenarios about leases that a leader no longer renews."""
 
 from behave import then
 from behave import when
@@ -70,14 +70,14 @@
     world = context.world
     world.take_over()
     world.leader.cut_from.add(context.task.box)
-    # Any other box would tell it of the newer epoch.
+    # Any other box would report the newer epoch to it.
     context.former_leader.cut_from.update(world.entries.keys() - {context.task.box})
     world.advance(20.0)
 
 
 @then("no task ever ran on two boxes")
 def on_one_box(context):
-    # Judged at each step of the world.
+    # The world checks this after each step.
     runs_there = [run for box in context.world.boxes.values() for run in box.history]
     assert len(runs_there) == 2, runs_there
 
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over orders that leave late."""
+"""Steps of the scenarios about commands that are sent late."""
 
 import time
 
@@ -18,7 +18,7 @@
 from session_world import LongPollStore
 from session_world import SessionWorld
 
-# Long enough for what was let go to leave.
+# Long enough for all released commands to be sent.
 SETTLE_S = 1.5
 
 
@@ -44,13 +44,13 @@
 
 
 def claim_epoch_for_successor(context):
-    """Let another process raise the epoch; it has not reached the box yet."""
+    """Claim a newer epoch for another process, which has not reached the box yet."""
     record = EpochClaim.record(2, "another")
     context.world.store.model.append(JOBS_TOPIC, [record], Writer(2, 1))
 
 
 def block_process(seconds):
-    """Stop the whole process, as a signal or a busy machine does."""
+    """Block the whole process, as a signal or a busy machine does."""
     time.sleep(seconds)
 
 
@@ -76,7 +76,7 @@
 
 @when(
     "it has {tasks:d} tasks to start there, stands still for {seconds:g} seconds, and "
-    "another takes over meanwhile"
+    "another process takes over meanwhile"
 )
 def stands_still(context, tasks, seconds):
     async def meanwhile(session):
@@ -90,15 +90,15 @@
 def only_stands_still(context, tasks, seconds):
     async def meanwhile(session):
         block_process(seconds)
-        # Eight starts, four at a time, and the tasks' own time.
+        # Eight starts, four at a time, and the run time of the tasks.
         await anyio.sleep(2.0)
 
     run_session(context, tasks, meanwhile)
 
 
 @when(
-    "it has {tasks:d} tasks to start there, and hears of a newer epoch, which the store "
-    "knows"
+    "it has {tasks:d} tasks to start there, and hears of a newer epoch that was "
+    "claimed at the store"
 )
 def hears_of_another(context, tasks):
     async def meanwhile(session):
@@ -109,8 +109,8 @@
 
 
 @when(
-    "it stands still for {seconds:g} seconds as the answer to its record is on the way, "
-    "and another takes over meanwhile"
+    "it stands still for {seconds:g} seconds while the answer to its record is on the "
+    "way, and another process takes over meanwhile"
 )
 def stands_still_at_the_answer(context, seconds):
     store = context.world.store
@@ -137,7 +137,7 @@
     anyio.run(script)
 
 
-@when("it starts {tasks:d} tasks, one job after the other")
+@when("it starts {tasks:d} tasks in one job after another")
 def starts_many(context, tasks):
     async def script():
         async with context.world.session(1) as session:
@@ -174,7 +174,7 @@
 
 
 @then(
-    "half of its starts had to wait {half:g} ms or less for its right, and 99 in 100 "
+    "half of its starts waited {half:g} ms or less for the leader lease, and 99 in 100 "
     "{maximum:g} ms or less"
 )
 def hardly_wait(context, half, maximum):
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over a store that tells its newest records in pages."""
+"""Steps of the scenarios about a store that returns its newest records in pages."""
 
 import collections
 import gc
@@ -39,7 +39,7 @@
 from granitetrestle_standins.nativestore import StoreModel
 from granitetrestle_standins.storereadings import PLAIN
 
-# What the store keeps of a job that completed, in MessagePack.
+# The record of a completed job, in MessagePack.
 ENDED = b"\x92\xa9completed\xa4work"
 TAKE_OVER_TIMEOUT_S = 30.0
 
@@ -49,9 +49,10 @@
 
 
 class PagedCaller(Caller):
-    """Calls the store in small without a connection, and counts pages of the jobs.
+    """Calls a model of the store without a connection, and counts requested job pages.
 
-    :ivar change: replaces a page of the jobs before it is answered, by its number.
+    :ivar page_changes: page number -> function that changes the answer.
+    :ivar requests_of_page: page number -> number of requests.
     """
 
     def __init__(self, count, size):
@@ -76,7 +77,7 @@
     async def call(self, address, path, headers=(), body=b"", *args, **options):
         route, _, query = path.partition("?")
         query = dict(urllib.parse.parse_qsl(query))
-        # As a real call does, it lets others have their turn before the store answers.
+        # Like a real call, lets other tasks run before the store answers.
         await anyio.sleep(0.001)
         reply = await self.server.handle(route, query, body)
         if route == "/api/log-newest" and query["topic"] == JOBS_TOPIC:
@@ -86,8 +87,8 @@
         return Reply(reply.status, (), reply.body)
 
     def _number(self, after):
-        """Return which page comes after a key; those beyond the first records count
-        as one."""
+        """Return the number of the page after a key; all pages beyond the first records
+        count as one."""
         if after is None:
             return 0
         known = after in self.last_keys
@@ -95,7 +96,7 @@
 
 
 class RecordingLog:
-    """Keeps what a session logs."""
+    """Keeps the events that a session logs."""
 
     def __init__(self):
         self.events = []
@@ -109,7 +110,7 @@
 
 
 class FailingPage:
-    """Refuses a page so many times."""
+    """Refuses a page the given number of times."""
 
     def __init__(self, times):
         self.times = times
@@ -180,9 +181,9 @@
 
 
 class LoopWatch:
-    """How much processor time went by between two turns of the event loop.
+    """Measures the processor time between two turns of the event loop.
 
-    :ivar longest_s: in seconds.
+    :ivar longest_s: longest such time in seconds.
     """
 
     def __init__(self):
@@ -200,7 +201,7 @@
             await anyio.sleep(0.005)
 
 
-@when("a decider takes over")
+@when("a process takes over")
 def takes_over(context):
     context.log = RecordingLog()
     context.loop_watch = LoopWatch()
@@ -211,7 +212,7 @@
     )
 
     async def run():
-        taken = await take_over(store, 1, "this life")
+        taken = await take_over(store, 1, "this incarnation")
         session = context.session = Session(
             sources, taken, SchedulerParameters(), context.log, NodeMetrics()
         )
@@ -235,13 +236,13 @@
     anyio.run(run)
 
 
-@then("it knows all jobs, and asked for each page once")
+@then("it knows all jobs, and requested each page once")
 def knows_all(context):
     context.refused = {}
     knows_all_but_failed(context)
 
 
-@then("it knows all jobs, and asked for each page once but for those that failed")
+@then("it knows all jobs, and requested each page once except for those that failed")
 def knows_all_but_failed(context):
     assert context.log.single("took_over")["jobs"] == context.count
     caller = context.caller
@@ -250,8 +251,8 @@
 
 
 @then(
-    "it knows {count:d} running tasks and never computed for more than {seconds:g} "
-    "seconds at once"
+    "it knows {count:d} running tasks and never blocked its event loop for more than "
+    "{seconds:g} seconds"
 )
 def never_long(context, count, seconds):
     workflows = context.session.scheduler.state.workflows.values()
@@ -261,7 +262,7 @@
         for task in workflow.tasks.values()
         if task.state == RUNNING
     ]
-    # The last job of a kind may have some tasks more.
+    # The last job of a kind may have some more tasks.
     assert count <= len(running) < count + 200, len(running)
     assert context.loop_watch.longest_s <= seconds, (
         "at once",
@@ -269,7 +270,7 @@
     )
 
 
-@then("collecting garbage took at most {seconds:g} seconds then")
+@then("the garbage collection afterwards took at most {seconds:g} seconds")
 def collecting(context, seconds):
     assert context.collecting_s <= seconds, ("collecting", context.collecting_s)
 
@@ -284,7 +285,7 @@
     context.session = None
 
 
-@then("nothing of what it knew is left")
+@then("none of its state is left")
 def nothing_left(context):
     gc.collect()
     assert not any(ref() for ref in context.known)
@@ -298,7 +299,7 @@
     assert (fields["pages"], fields["records"]) == (pages, records), fields
 
 
-@then("the store was asked {times:d} times for pages")
+@then("{times:d} pages were requested from the store")
 def asked_times(context, times):
     assert context.caller.requests_of_page.total() == times, (
         context.caller.requests_of_page
@@ -323,7 +324,7 @@
     context.newest = anyio.run(read_newest, store, JOBS_TOPIC)
 
 
-@then("reading goes on from where the first page ended")
+@then("changes are read from the end offset of the first page")
 def goes_on_from_first(context):
     newest = context.newest
     assert isinstance(newest, NewestRecords), newest
@@ -333,7 +334,7 @@
     assert {ended_record(n).key for n in range(context.count)} <= set(keys), keys
 
 
-@when("records of ended jobs fill {pages:d} pages and the decider is killed")
+@when("records of ended jobs fill {pages:d} pages and the leader is killed")
 def fill_and_kill(context, pages):
     cluster = context.cluster
     context.ended = pages * 2
@@ -345,7 +346,7 @@
 
 
 @then(
-    "another one takes over with all of them within {seconds:g} seconds, "
+    "another process takes over with all of them within {seconds:g} seconds, "
     "and a job completes"
 )
 def other_takes_over(context, seconds):
@@ -355,7 +356,7 @@
     def took_over():
         return [line for line in cluster.log(name) if line["event"] == "took_over"]
 
-    (line,) = cluster.wait(took_over, "another decider", seconds)
+    (line,) = cluster.wait(took_over, "another leader", seconds)
     assert line["jobs"] == context.ended, line
     job = "00000000000000f1"
     cluster.submit(job, [{"count": 2, "cpu": 1000, "mem_mb": 100}], name)
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -1,5 +1,5 @@
-"""Steps of the scenarios over connections that fall silent, and over who takes over
-when everybody was killed at once."""
+"""Steps of the scenarios about connections that hang, and about the take-over after all
+processes were killed at once."""
 
 import random
 import socket
@@ -38,7 +38,7 @@
 
 
 class SilentServer:
-    """Answers every request, until the connections it has are told to be silent."""
+    """Answers every request, except on connections in ``silent``."""
 
     def __init__(self):
         self.accepted = 0
@@ -84,12 +84,12 @@
     context.server, context.count = SilentServer(), count
 
 
-@when("they all fall silent")
+@when("they all hang")
 def fall_silent(context):
-    """The server falls silent once the connections are open; see ``run``."""
+    """The server stops answering once the connections are open; see ``run``."""
 
 
-@then("the second call from then on is answered over a new connection")
+@then("the second call after that is answered over a new connection")
 def second_call(context):
     async def script(caller):
         first = await caller.call(context.server.address, "/", timeout_s=0.2)
@@ -129,8 +129,8 @@
     anyio.run(context.server.run, context.count, script)
 
 
-@then("a client that is refused comes back after {seconds:d} seconds")
-def comes_back(context, seconds):
+@then("a refused client is told to retry after {seconds:d} seconds")
+def retries_after(context, seconds):
     async def script():
         call = ClientCall("GET", "host", f"/q/{'a' * 16}", b"")
         return await FrontResponder().answer(context.session, "r", call)
@@ -140,7 +140,7 @@
 
 
 class TcpProxy:
-    """Passes bytes on, both ways; connections told to be silent pass nothing."""
+    """Forwards bytes in both directions, except on connections marked as silent."""
 
     def __init__(self, port):
         self.port = port
@@ -182,13 +182,13 @@
         return probe.getsockname()[1]
 
 
-@given("two processes whose messages pass through a relay")
+@given("two processes whose messages pass through a proxy")
 def two_processes(context):
     context.port = free_port()
 
 
-@when("the relay falls silent on the connections it has")
-def relay_silent(context):
+@when("the proxy stops forwarding on the connections it has")
+def proxy_silent(context):
     async def script():
         proxy = TcpProxy(context.port)
         far = PeerLink("n2", "n2-1", "secret", f"127.0.0.1:{context.port}")
@@ -208,7 +208,7 @@
             for number in range(1, 20):
                 near.send("n2", LeaderResigned(number))
                 await anyio.sleep(0.05)
-            assert arrived, "nothing arrived before"
+            assert arrived, "no message arrived before the proxy stopped forwarding"
             proxy.fall_silent()
             silent_at = time.monotonic()
             for number in range(1001, 1100):
@@ -217,7 +217,9 @@
                 if arrived[-1][1] > 1000:
                     break
             tasks.cancel_scope.cancel()
-        assert arrived[-1][1] > 1000, "nothing arrived any more"
+        assert arrived[-1][1] > 1000, (
+            "no message arrived after the proxy stopped forwarding"
+        )
         context.took_s = arrived[-1][0] - silent_at
         far.close()
         near.close()
@@ -233,10 +235,10 @@
 CONFIG = Config(1, (Queue("q", "host", "/q/", "pool", 0, 3, 1.5, 1.0),), {}, 10_000)
 
 
-@given("a decider whose store has been away for {seconds:g} seconds")
+@given("a leader whose store has been unavailable for {seconds:g} seconds")
 def store_away(context, seconds):
     class Away(Session):
-        """Only what ``confirm`` reads."""
+        """A session with only the attributes that ``confirm`` reads."""
 
         def __init__(self):
             self._over = False
@@ -264,7 +266,7 @@
     context.session = Away()
 
 
-@then("a question for a job's state is refused within {seconds:g} seconds")
+@then("a query for the state of a job is refused within {seconds:g} seconds")
 def refused_within(context, seconds):
     async def script():
         call = ClientCall("GET", "host", f"/q/{'a' * 16}", b"")
@@ -273,7 +275,7 @@
         return None
 
     answer = anyio.run(script)
-    assert answer is not None, "held"
+    assert answer is not None, "the query was held"
     assert answer.status == 503 and answer.retry_after_s, answer
 
 
@@ -283,8 +285,8 @@
 
 
 class ModelProcess:
-    """A process's part in a take-over, in virtual time: what ``Node`` does with its
-    ``Leadership``, the store and its peers."""
+    """Model of a process during a take-over, in virtual time: does what ``Node`` does
+    with its ``Leadership``, the store and its peers."""
 
     def __init__(self, world, name, start):
         self.world, self.name = world, name
@@ -369,7 +371,7 @@
 
 
 class TakeOverWorld:
-    """All processes start within 0.3 s of each other and have no decider."""
+    """Processes that start within 0.3 s of each other and have no leader."""
 
     def __init__(self, seed, count, store_s, returns):
         self.random = random.Random(seed)
@@ -400,8 +402,8 @@
     context.count, context.store_s = count, ms / 1000.0
 
 
-@when("the former decider {does}")
-def former_decider(context, does):
+@when("the former leader {does}")
+def former_leader(context, does):
     runs = 8 if context.count < 20 else 3
     context.worlds = [
         TakeOverWorld(seed, context.count, context.store_s, does == "returns")
@@ -411,7 +413,7 @@
         world.run(8.0)
 
 
-@then("one process takes over, in {seconds:g} seconds at the median")
+@then("one process takes over, within a median of {seconds:g} seconds")
 def one_takes_over(context, seconds):
     counts = [len(world.claimed_at) for world in context.worlds]
     assert counts == [1] * len(counts), counts
@@ -432,10 +434,11 @@
     assert context.leadership.best_successor(10.2) == "n1"
 
 
-@given("a decider that was confirmed a moment ago")
+@given("a leader that was confirmed a moment ago")
 def confirmed_now(context):
     class Confirmed(Session):
-        """Only what ``confirm`` reads; it is confirmed again when that is asked for."""
+        """A session with only the attributes that ``confirm`` reads; each requested
+        append succeeds at once."""
 
         def __init__(self):
             self._over = False
@@ -462,7 +465,8 @@
 
 
 @when(
-    "its machine is suspended for {seconds:g} seconds, which the steady clock leaves out"
+    "its machine is suspended for {seconds:g} seconds, which the monotonic clock does "
+    "not count"
 )
 def suspended(context, seconds):
     context.suspended_s = seconds
@@ -478,4 +482,6 @@
     ):
         assert not session._leader_lease.may_renew()
         assert anyio.run(session.confirm)
-    assert session.append_requests, "an answer would rest on what was confirmed before"
+    assert session.append_requests, (
+        "the answer would rely on a confirmation from before"
+    )
--- a/features/steps/store_reading_steps.py
+++ b/features/steps/store_reading_steps.py
@@ -1,5 +1,5 @@
-"""Steps of the scenarios over the readings of the page on the store. The journal and the
-decider are the product's; the store is a model."""
+"""Steps of the scenarios about the interpretations of the store's specification. The
+journal and the scheduler are the real ones; the store is a model."""
 
 import random
 import time
@@ -78,15 +78,17 @@
     assert {record.value for record in context.later} == {b"old", b"new"}
 
 
-@given("a store on which an append under number 2 got no answer, to be done later")
+@given(
+    "a store on which an append under number 2 got no answer and is carried out later"
+)
 def late_append(context):
     context.model = StoreModel(READINGS["late"])
     context.model.append(TEST_TOPIC, (), Writer(1, 1))
     context.model.append_later(1.5, TEST_TOPIC, [RECORD], Writer(1, 2))
 
 
-@when("{before}, and then the time of the late append comes")
-def time_comes(context, before):
+@when("{before}, and then the late append is due")
+def late_append_due(context, before):
     context.model.tick(1.4)
     assert context.model.end(TEST_TOPIC) == 0
     if before == "the same append is retried":
@@ -117,7 +119,7 @@
 
 
 @then(
-    "5 is answered as it was first, and 4 is answered with the number wanted, "
+    "5 gets its first answer again, and 4 is answered with the expected number, "
     "{wanted:d}"
 )
 def repeats_answered(context, wanted):
@@ -131,7 +133,10 @@
     context.model.append(TEST_TOPIC, (), Writer(1, 1))
 
 
-@when("it confirms itself for a while, and then a decision is written and let go")
+@when(
+    "it only confirms its epoch for a while, and then a decision is written and "
+    "released"
+)
 def confirms_and_writes(context):
     context.released = []
     due = []
@@ -165,11 +170,11 @@
     anyio.run(play)
 
 
-@then("the store holds the decision that was let go")
+@then("the store holds the released decision")
 def decision_held(context):
     assert context.released == ["effect"], context.released
     held = [r for r in context.model.topics[TEST_TOPIC] if r.key != DIGEST_KEY]
-    assert held == [RECORD], f"let go, and the store holds {held}"
+    assert held == [RECORD], f"released, and the store holds {held}"
 
 
 @given("a model world whose store gives empty appends numbers")
@@ -177,7 +182,7 @@
     context.world = ShardWorld(7, 3, reading=READINGS["numbered"])
 
 
-@when("a job is accepted after a calm second, and another process takes over")
+@when("a job is accepted after a second without news, and another process takes over")
 def accepted_then_taken_over(context):
     world = context.world
     world.advance(1.0)
--- a/features/steps/succession_steps.py
+++ b/features/steps/succession_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over what a successor reads of its predecessor."""
+"""Steps of the scenarios about the records that a successor reads."""
 
 import collections
 
@@ -20,7 +20,7 @@
 from session_world import StaleReadStore
 from session_world import TruncatedReadStore
 
-# Longer than a decider without news waits before it confirms itself.
+# Longer than a leader without news waits before it confirms its lease by an append.
 IDLE_PAUSE_S = 0.6
 
 
@@ -38,7 +38,7 @@
 
 @given(
     "a store that shows records as they were {behind:g} seconds ago, for {readings:d} "
-    "readings, and {boxes:d} boxes"
+    "reads, and {boxes:d} boxes"
 )
 def late_store(context, behind, readings, boxes):
     store = StaleReadStore(StoreModel(), behind, 0)
@@ -47,7 +47,7 @@
 
 
 @given(
-    "a store that leaves out the last half of the records, for {readings:d} readings, "
+    "a store that leaves out the last half of the records, for {readings:d} reads, "
     "and {boxes:d} boxes"
 )
 def short_store(context, readings, boxes):
@@ -57,10 +57,10 @@
 
 
 @when(
-    "a decider does jobs of {tasks:d} tasks with pauses between, is killed, and another "
-    "takes over"
+    "a leader runs jobs of {tasks:d} tasks with pauses between, is killed, and another "
+    "process takes over"
 )
-def change_of_decider(context, tasks):
+def change_of_leader(context, tasks):
     world = context.world
 
     async def script():
@@ -82,17 +82,17 @@
 
 
 @when(
-    "a process raises an epoch, does {jobs:d} jobs of {tasks:d} tasks, is killed, and "
-    "raises it again in a new life"
+    "a process claims an epoch, runs {jobs:d} jobs of {tasks:d} tasks, is killed, and "
+    "claims it again in a new incarnation"
 )
 def same_epoch(context, jobs, tasks):
     world = context.world
 
     async def script():
-        async with world.session(1, "first life") as session:
+        async with world.session(1, "first incarnation") as session:
             for _ in range(jobs):
                 await world.run_job(session, tasks)
-        context.taken = await take_over(world.store, 1, "second life")
+        context.taken = await take_over(world.store, 1, "second incarnation")
         if isinstance(context.taken, EpochClaim):
             log = NodeLog(descriptor=2)
             context.read = await StateReader(world.store, context.taken, log).run()
@@ -100,11 +100,11 @@
     anyio.run(script)
 
 
-@then("the new life sees that the epoch is used, and decides nothing in it")
-def sees_used(context):
+@then("the new incarnation finds the epoch used, and does not lead in it")
+def finds_epoch_used(context):
     if isinstance(context.taken, EpochClaim):
         assert isinstance(context.read, StateUnavailable), context.read
-        assert "first life" in context.read.reason
+        assert "first incarnation" in context.read.reason
     else:
         assert isinstance(context.taken, NumberTaken), context.taken
 
--- a/src/granitetrestle/leadership.py
+++ b/src/granitetrestle/leadership.py
@@ -78,7 +78,7 @@
 
 class Leadership:
     """Tracks the leader of a shard from the reports of its processes, and says when
-    this process should take over. Times are in seconds on the steady clock.
+    this process should take over. Times are in seconds on the monotonic clock.
 
     :param node: name of this process.
     :param jitter: random share from 0 to 1, drawn once for this process.
