--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -49,7 +49,7 @@
 
 
 @when("the first of them says that it is taking over")
-def says_so(context):
+def reports_taking_over(context):
     context.second = context.successors[1]
     for tick in range(20):
         context.second.record_report(
@@ -65,7 +65,7 @@
 
 
 @when("the first of them hears nobody any more")
-def hears_nobody(context):
+def loses_all_peers(context):
     assert not context.successors[0].is_isolated(10.9)
     context.now = 13.0
 
@@ -76,7 +76,7 @@
 
 
 @given("a process cut off with a decider that has lost the store")
-def cut_off_with_decider(context):
+def cut_off_with_leader(context):
     leadership = context.leadership = Leadership("n3", 0.0, 0.5)
     lost = status("n1", 5, "n1", ("n3",))
     for tick in range(30):
@@ -89,7 +89,7 @@
 
 
 @then("it does not take over from that one at once")
-def patient_with_new(context):
+def no_immediate_take_over(context):
     assert context.leadership.leader == "n9"
     assert not context.leadership.is_take_over_due(16.0)
     assert not context.leadership.is_take_over_due(16.5)
@@ -112,7 +112,7 @@
 
 
 @then("it takes over without asking")
-def asks_nobody(context):
+def does_not_ask_store(context):
     assert not context.leadership.lacks_stable_majority(12.0)
 
 
@@ -126,14 +126,14 @@
 
 
 @then("it still asks the store, for a while")
-def asks_still(context):
+def still_asks_store(context):
     assert context.leadership.lacks_stable_majority(12.5)
     assert context.leadership.lacks_stable_majority(13.9)
     assert not context.leadership.lacks_stable_majority(14.1)
 
 
 @given("a decider of half a core that hears a ready process of two cores")
-def small_decider(context):
+def small_leader(context):
     leadership = context.leadership = Leadership("n0", 0.0, 0.0)
     leadership.record_take_over(5, 10.0)
     for tick in range(40):
@@ -169,7 +169,7 @@
 
 
 @then("it still names one of them as its heir")
-def names_heir(context):
+def names_successor(context):
     assert context.leadership.best_successor(1.2) == "n1"
     context.leadership.record_report(status("n2", 5, "n0"), 1.3)
     assert context.leadership.best_successor(1.4) == "n2", (
--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -212,9 +212,9 @@
     )
 
     async def run():
-        taken = await take_over(store, 1, "this incarnation")
+        claim = await take_over(store, 1, "this incarnation")
         session = context.session = Session(
-            sources, taken, SchedulerParameters(), context.log, NodeMetrics()
+            sources, claim, SchedulerParameters(), context.log, NodeMetrics()
         )
         with anyio.fail_after(TAKE_OVER_TIMEOUT_S):
             async with anyio.create_task_group() as tasks:
@@ -300,7 +300,7 @@
 
 
 @then("{times:d} pages were requested from the store")
-def asked_times(context, times):
+def requested_pages(context, times):
     assert context.caller.requests_of_page.total() == times, (
         context.caller.requests_of_page
     )
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -422,7 +422,7 @@
 
 
 @given("a decider that knows its peers from the store alone")
-def knows_from_store(context):
+def peers_from_store(context):
     leadership = context.leadership = Leadership("n2", 0.0, 0.0)
     leadership.add_known_node("n1")
     leadership.add_known_node("n3")
