--- a/features/report_world.py
+++ b/features/report_world.py
@@ -69,7 +69,7 @@
 
     def learn(self, now):
         for member in self.world.members():
-            self.membership.learn(member)
+            self.membership.add_registered(member)
 
     def register(self, now):
         self.learn(now)
@@ -138,7 +138,7 @@
         self.trying = True
         self.world.tried.add(self.name)
         self.leadership.record_attempt(now)
-        self.say(self.reports.all(self.own, now), now)
+        self.say(self.reports.for_all_targets(self.own, now), now)
         self.ask_store(self.read)
 
     def read(self, now):
@@ -153,7 +153,7 @@
         self.world.take(self, now)
         self.leadership.record_take_over(self.world.epoch, now)
         self.leading = True
-        self.say(self.reports.all(self.own, now), now)
+        self.say(self.reports.for_all_targets(self.own, now), now)
 
 
 class ReportWorld:
@@ -232,7 +232,7 @@
         if target.registered_at is not None:
             return
         target.received += 1
-        target.say(target.reports.heard(status, target.own, self.now), self.now)
+        target.say(target.reports.record_report(status, target.own, self.now), self.now)
 
     def take(self, process, now):
         self.epoch += 1
--- a/features/steps/answering_steps.py
+++ b/features/steps/answering_steps.py
@@ -30,7 +30,7 @@
         self.tried.append((time.monotonic(), message.number))
         if self.answers:
             answered = CallAnswered(message.number, 200, b"", 0, "")
-            self.forwarding.answered(answered)
+            self.forwarding.record_answer(answered)
         return True
 
     async def here(self, call):
--- a/features/steps/forwarded_steps.py
+++ b/features/steps/forwarded_steps.py
@@ -38,7 +38,7 @@
     def close_unused(self, keep):
         pass
 
-    def opening(self, node):
+    def is_opening(self, node):
         return False
 
     def send(self, node, message, trace=""):
--- a/features/steps/part_steps.py
+++ b/features/steps/part_steps.py
@@ -202,7 +202,7 @@
 
     def answer(self, status_code, body=b""):
         number = self.sent[-1][1].number
-        self.forwarding.answered(CallAnswered(number, status_code, body, 1))
+        self.forwarding.record_answer(CallAnswered(number, status_code, body, 1))
 
     async def serve(self, script, left_s=3.0):
         answer = None
--- a/src/granitetrestle/answering.py
+++ b/src/granitetrestle/answering.py
@@ -13,14 +13,14 @@
 
 # A decider on a slow store answers within some 0.5 s, or refuses by itself; a request to
 # one that is gone is sent to the next within about a second.
-UNANSWERED_S: t.Final = 1.2
+ANSWER_TIMEOUT_S: t.Final = 1.2
 # So many requests must be without an answer: one alone may have been lost on its way.
-UNANSWERED: t.Final = 3
+MIN_OVERDUE_REQUESTS: t.Final = 3
 # One request in this time is sent all the same, to learn when answers come again.
-PROBE_S: t.Final = 0.5
+PROBE_INTERVAL_S: t.Final = 0.5
 # Clients come back spread over some seconds, not all together (seconds; HTTP carries whole
 # ones).
-COME_BACK_S: t.Final = (1, 2, 3)
+RETRY_AFTER_CHOICES_S: t.Final = (1, 2, 3)
 
 
 class AnswerWatch:
@@ -33,49 +33,52 @@
         self._clock = clock
         self._target: object = None
         # Request -> when it was first sent to the decider that is known now.
-        self._sent: dict[int, float] = {}
+        self._sent_at: dict[int, float] = {}
         self._answered_at = -1e9
         self._probed_at = -1e9
-        self._come_back = itertools.cycle(COME_BACK_S)
+        self._retry_after_choices = itertools.cycle(RETRY_AFTER_CHOICES_S)
 
-    def sent(self, number: int, target: object) -> None:
+    def record_sent(self, number: int, target: object) -> None:
         """Note that a request was sent; a new decider starts with a clean record."""
         if target != self._target:
             self._target = target
-            self._sent.clear()
-        self._sent.setdefault(number, self._clock())
+            self._sent_at.clear()
+        self._sent_at.setdefault(number, self._clock())
 
-    def answered(self, number: int) -> None:
+    def record_answer(self, number: int) -> None:
         """Note an answer of the decider: those that waited in vain before tell nothing
         any more."""
-        if self._sent.pop(number, None) is not None:
+        if self._sent_at.pop(number, None) is not None:
             now = self._answered_at = self._clock()
-            self._sent = {
-                n: at for n, at in self._sent.items() if not _in_vain(at, now)
+            self._sent_at = {
+                n: at for n, at in self._sent_at.items() if not _is_overdue(at, now)
             }
 
-    def ended(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """Forget a request: its client was answered, or has left."""
-        sent = self._sent.get(number)
-        if sent is not None and not _in_vain(sent, self._clock()):
-            del self._sent[number]
+        sent = self._sent_at.get(number)
+        if sent is not None and not _is_overdue(sent, self._clock()):
+            del self._sent_at[number]
 
-    def hopeless(self, target: object) -> bool:
+    def should_refuse(self, target: object) -> bool:
         """Say whether a request need not be sent, since it would not be answered."""
         now = self._clock()
-        if target != self._target or now - self._answered_at < UNANSWERED_S:
+        if target != self._target or now - self._answered_at < ANSWER_TIMEOUT_S:
             return False
-        if sum(_in_vain(sent, now) for sent in self._sent.values()) < UNANSWERED:
+        if (
+            sum(_is_overdue(sent, now) for sent in self._sent_at.values())
+            < MIN_OVERDUE_REQUESTS
+        ):
             return False
-        if now - self._probed_at >= PROBE_S:
+        if now - self._probed_at >= PROBE_INTERVAL_S:
             self._probed_at = now
             return False
         return True
 
-    def come_back_s(self) -> int:
+    def next_retry_after_s(self) -> int:
         """Return when the next client that is refused should come back."""
-        return next(self._come_back)
+        return next(self._retry_after_choices)
 
 
-def _in_vain(sent: float, now: float) -> bool:
-    return now - sent > UNANSWERED_S
+def _is_overdue(sent: float, now: float) -> bool:
+    return now - sent > ANSWER_TIMEOUT_S
--- a/src/granitetrestle/forwarding.py
+++ b/src/granitetrestle/forwarding.py
@@ -17,16 +17,16 @@
 
 # A hand-over takes some 0.2 s and a take-over after a kill about a second; a client
 # is told to come back rather than kept for longer than that.
-WAIT_FOR_LEADER_S: t.Final = 0.9
-COME_BACK_S: t.Final = 1
+LEADER_WAIT_TIMEOUT_S: t.Final = 0.9
+RETRY_AFTER_S: t.Final = 1
 # A request that the decider has not answered is sent again: a message may be lost.
-REPEAT_S: t.Final = 0.6
-PAUSE_S: t.Final = 0.03
+RESEND_INTERVAL_S: t.Final = 0.6
+RETRY_PAUSE_S: t.Final = 0.03
 # Two lives of a process number a day's requests alike once in some millions of years.
-NUMBER_BITS: t.Final = 62
-UNAVAILABLE: t.Final = 503
-NO_ANSWER: t.Final = 504
-REFUSALS: t.Final = (429, UNAVAILABLE)
+REQUEST_NUMBER_BITS: t.Final = 62
+SERVICE_UNAVAILABLE: t.Final = 503
+GATEWAY_TIMEOUT: t.Final = 504
+REFUSALS: t.Final = (429, SERVICE_UNAVAILABLE)
 
 
 class Deposed(Exception):
@@ -62,14 +62,14 @@
     epoch: int
 
 
-class _Waiting:
+class _PendingCall:
     """A request on its way."""
 
-    __slots__ = ("answer", "news")
+    __slots__ = ("answer", "changed")
 
     def __init__(self) -> None:
         self.answer: ClientAnswer | None = None
-        self.news = anyio.Event()
+        self.changed = anyio.Event()
 
 
 class Forwarding:
@@ -85,101 +85,113 @@
         node: str,
         address: str,
         send: t.Callable[[str, Message], bool],
-        answer_here: t.Callable[[ClientCall], t.Awaitable[ClientAnswer]],
+        answer_locally: t.Callable[[ClientCall], t.Awaitable[ClientAnswer]],
     ) -> None:
         self._node = node
         self._address = address
         self._send = send
-        self._answer_here = answer_here
+        self._answer_locally = answer_locally
         # An answer to an earlier life of this process must not be taken for one of its
         # own: lives number their requests from far apart.
-        self._numbers = itertools.count(secrets.randbits(NUMBER_BITS))
-        self._waiting: dict[int, _Waiting] = {}
+        self._numbers = itertools.count(secrets.randbits(REQUEST_NUMBER_BITS))
+        self._pending: dict[int, _PendingCall] = {}
         self._answers = AnswerWatch()
         self._closed = False
 
     @property
     def open_calls(self) -> int:
         """Requests without an answer."""
-        return len(self._waiting)
+        return len(self._pending)
 
     def leader_changed(self) -> None:
         """Let all requests look for the decider again."""
-        for waiting in self._waiting.values():
-            waiting.news.set()
+        for pending in self._pending.values():
+            pending.changed.set()
 
     def close(self) -> None:
         """Give all requests their final answer now: the process ends."""
         self._closed = True
         self.leader_changed()
 
-    def answered(self, message: CallAnswered) -> None:
+    def record_answer(self, message: CallAnswered) -> None:
         """Take up a decider's answer."""
-        self._answers.answered(message.number)
-        waiting = self._waiting.get(message.number)
-        if waiting is not None and waiting.answer is None:
-            waiting.answer = ClientAnswer(
+        self._answers.record_answer(message.number)
+        pending = self._pending.get(message.number)
+        if pending is not None and pending.answer is None:
+            pending.answer = ClientAnswer(
                 message.status, message.body, message.retry_after_s, message.why
             )
-            waiting.news.set()
+            pending.changed.set()
 
     async def serve(
         self, call: ClientCall, left_s: float, leader: t.Callable[[], Target | None]
     ) -> ClientAnswer:
         """Answer a request within ``left_s`` seconds."""
         number = next(self._numbers)
-        waiting = self._waiting[number] = _Waiting()
-        asked: list[Target] = []
+        pending = self._pending[number] = _PendingCall()
+        attempts: list[Target] = []
         try:
             with anyio.move_on_after(left_s):
-                answer = await self._bring(number, waiting, call, left_s, leader, asked)
+                answer = await self._deliver(
+                    number, pending, call, left_s, leader, attempts
+                )
                 if answer is not None:
-                    return _truthful(call, answer, asked)
+                    return _without_false_refusal(call, answer, attempts)
         finally:
-            del self._waiting[number]
-            self._answers.ended(number)
-        if not asked:
+            del self._pending[number]
+            self._answers.remove(number)
+        if not attempts:
             return _refusal()
-        return ClientAnswer(NO_ANSWER, why=f"no answer; {_described(asked)}")
+        return ClientAnswer(
+            GATEWAY_TIMEOUT, why=f"no answer; {_describe_attempts(attempts)}"
+        )
 
-    async def _bring(
+    async def _deliver(
         self,
         number: int,
-        waiting: _Waiting,
+        pending: _PendingCall,
         call: ClientCall,
         left_s: float,
         leader: t.Callable[[], Target | None],
-        asked: list[Target],
+        attempts: list[Target],
     ) -> ClientAnswer | None:
-        began = time.monotonic()
+        started = time.monotonic()
         unreached_since: float | None = None
-        while waiting.answer is None and not self._closed:
+        while pending.answer is None and not self._closed:
             target = leader()
             now = time.monotonic()
-            waiting.news = anyio.Event()
+            pending.changed = anyio.Event()
             if target is not None and target.node == self._node:
-                asked.append(target)
+                attempts.append(target)
                 try:
-                    return await self._answer_here(call)
+                    return await self._answer_locally(call)
                 except Deposed:
-                    await anyio.sleep(PAUSE_S)
+                    await anyio.sleep(RETRY_PAUSE_S)
                     continue
-            if target is not None and not asked and self._answers.hopeless(target):
-                after_s = self._answers.come_back_s()
-                return ClientAnswer(UNAVAILABLE, b"", after_s, "no answers come")
+            if (
+                target is not None
+                and not attempts
+                and self._answers.should_refuse(target)
+            ):
+                after_s = self._answers.next_retry_after_s()
+                return ClientAnswer(
+                    SERVICE_UNAVAILABLE, b"", after_s, "no answers come"
+                )
             if target is not None and self._forward(
-                number, call, target, left_s - (now - began)
+                number, call, target, left_s - (now - started)
             ):
-                asked.append(target)
+                attempts.append(target)
                 unreached_since = None
-                await _news(waiting, REPEAT_S)
+                await _wait_for_change(pending, RESEND_INTERVAL_S)
                 continue
             unreached_since = unreached_since or now
-            if now - unreached_since > WAIT_FOR_LEADER_S:
+            if now - unreached_since > LEADER_WAIT_TIMEOUT_S:
                 return None
             # The connection to a decider that is known is only being opened.
-            await _news(waiting, PAUSE_S if target else WAIT_FOR_LEADER_S / 3)
-        return waiting.answer
+            await _wait_for_change(
+                pending, RETRY_PAUSE_S if target else LEADER_WAIT_TIMEOUT_S / 3
+            )
+        return pending.answer
 
     def _forward(
         self, number: int, call: ClientCall, target: Target, left_s: float
@@ -193,33 +205,33 @@
             left_s,
             self._address,
         )
-        self._answers.sent(number, target)
-        went = self._send(target.node, message)
-        if not went:
-            self._answers.ended(number)
-        return went
+        self._answers.record_sent(number, target)
+        queued = self._send(target.node, message)
+        if not queued:
+            self._answers.remove(number)
+        return queued
 
 
-async def _news(waiting: _Waiting, at_most_s: float) -> None:
-    with anyio.move_on_after(at_most_s):
-        await waiting.news.wait()
+async def _wait_for_change(pending: _PendingCall, timeout_s: float) -> None:
+    with anyio.move_on_after(timeout_s):
+        await pending.changed.wait()
 
 
 def _refusal() -> ClientAnswer:
-    return ClientAnswer(UNAVAILABLE, b"", COME_BACK_S, "no decider is known")
+    return ClientAnswer(SERVICE_UNAVAILABLE, b"", RETRY_AFTER_S, "no decider is known")
 
 
-def _described(asked: list[Target]) -> str:
-    last = asked[-1]
-    return f"sent {len(asked)} times, last to {last.node} of epoch {last.epoch}"
+def _describe_attempts(attempts: list[Target]) -> str:
+    last = attempts[-1]
+    return f"sent {len(attempts)} times, last to {last.node} of epoch {last.epoch}"
 
 
-def _truthful(
-    call: ClientCall, answer: ClientAnswer, asked: list[Target]
+def _without_false_refusal(
+    call: ClientCall, answer: ClientAnswer, attempts: list[Target]
 ) -> ClientAnswer:
     """A refusal is true only if the request was sent once: another message of it may
     still be on its way, or have been taken by another decider."""
-    if call.method == "POST" and answer.status in REFUSALS and len(asked) > 1:
-        why = f"refused ({answer.why}), but {_described(asked)}"
-        return ClientAnswer(NO_ANSWER, why=why)
+    if call.method == "POST" and answer.status in REFUSALS and len(attempts) > 1:
+        why = f"refused ({answer.why}), but {_describe_attempts(attempts)}"
+        return ClientAnswer(GATEWAY_TIMEOUT, why=why)
     return answer
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -42,27 +42,27 @@
 
 # A suspension of the machine from which on it is noted; the two clocks that tell it are
 # read a moment apart.
-SUSPENDED_S: t.Final = 0.1
-TICK_S: t.Final = 0.1
+MIN_LOGGED_SUSPENSION_S: t.Final = 0.1
+TICK_INTERVAL_S: t.Final = 0.1
 # The decider shows in the store that it is at work; once that has stood still for so
 # long, a process that hears too few others may take over as well.
-BEAT_EVERY_S: t.Final = 1.0
-BEAT_LOST_S: t.Final = 1.4
+HEARTBEAT_INTERVAL_S: t.Final = 1.0
+HEARTBEAT_TIMEOUT_S: t.Final = 1.4
 # What a decider that hands over waits for its last append.
-DRAIN_S: t.Final = 0.3
+DRAIN_TIMEOUT_S: t.Final = 0.3
 # A process that knows no decider for so long asks for no new connections.
-LEADERLESS_S: t.Final = 1.5
-CATCH_UP_EPOCHS: t.Final = 5
+LEADERLESS_TIMEOUT_S: t.Final = 1.5
+MAX_CLAIM_ATTEMPTS: t.Final = 5
 # Processes that enter the store while this one reads are read a little later; and who
 # hears nobody reads again, since everybody it knew may be gone.
-READ_AGAIN_S: t.Final = 2.0
+REGISTRY_REREAD_INTERVAL_S: t.Final = 2.0
 # A process that hears too few others asks the store who decides: when the beat that it
 # saw last would have stood still for long enough, and no more often than this.
-ASK_STORE_S: t.Final = 0.2
+MIN_LEADER_CHECK_INTERVAL_S: t.Final = 0.2
 # An answer waits so long for the connection to the process that asked, which is opened
 # when it first asks.
-ANSWER_WAIT_S: t.Final = 1.0
-ANSWER_RETRY_S: t.Final = 0.01
+ANSWER_SEND_TIMEOUT_S: t.Final = 1.0
+ANSWER_RETRY_INTERVAL_S: t.Final = 0.01
 
 
 class Responder(t.Protocol):
@@ -125,20 +125,20 @@
         self._serving = False
         self._stopping = False
         self._registered = False
-        self._leader_seen = ""
+        self._known_leader = ""
         # Keys of entries that can't be read, as was said.
         self._unreadable: frozenset[str] = frozenset()
         self._leaderless_since = time.monotonic()
-        self._ask_store_at = 0.0
+        self._next_leader_check_at = 0.0
         # Newest epoch that the store refused; without it each try began below it again.
         self._refused_epoch = 0
-        self._beat = HeartbeatWatch()
+        self._heartbeat_watch = HeartbeatWatch()
         # Whether the store is asked who decides, and whether the epoch is being raised.
-        self._trying = False
+        self._attempting = False
         self._taking_over = False
         self._requests = itertools.count(1)
         self._forwarding = Forwarding(
-            parameters.node, parameters.address, self._send, self._answer_here
+            parameters.node, parameters.address, self._send, self._answer_locally
         )
 
     @property
@@ -154,7 +154,7 @@
     @property
     def ready(self) -> bool:
         """Whether clients should be sent here."""
-        known = bool(self._leader()) or self._leaderless_s() < LEADERLESS_S
+        known = bool(self._leader()) or self._leaderless_s() < LEADERLESS_TIMEOUT_S
         return self._registered and known and not self._stopping
 
     @property
@@ -189,7 +189,7 @@
         """Answer a client's request within ``left_s`` seconds."""
         return await self._forwarding.serve(call, left_s, self._target)
 
-    async def _answer_here(self, call: ClientCall) -> ClientAnswer:
+    async def _answer_locally(self, call: ClientCall) -> ClientAnswer:
         session = self._session
         if session is None or not self._serving:
             raise Deposed
@@ -216,83 +216,83 @@
         while not self._registered:
             known = await self._registry.read()
             if isinstance(known, StoreUnavailable):
-                await anyio.sleep(TICK_S * 2)
+                await anyio.sleep(TICK_INTERVAL_S * 2)
                 continue
-            self._take_registry(known)
-            self._beat.age_s(known)
+            self._apply_registry(known)
+            self._heartbeat_watch.age_s(known)
             if known.nodes.get(self._parameters.node) != entry:
                 written = await self._registry.register(self._parameters.node, entry)
                 if not written:
-                    await anyio.sleep(TICK_S * 2)
+                    await anyio.sleep(TICK_INTERVAL_S * 2)
                     continue
             self._registered = True
             self._log.event("registered", peers=len(self._membership) - 1)
-        await self._read_again()
+        await self._reread_registry()
 
-    async def _read_again(self) -> None:
+    async def _reread_registry(self) -> None:
         """Learn of those that entered the store meanwhile, and of others whenever this
         process hears nobody."""
         first = True
         while True:
-            await anyio.sleep(READ_AGAIN_S)
+            await anyio.sleep(REGISTRY_REREAD_INTERVAL_S)
             if not first and not self._leadership.is_isolated(time.monotonic()):
                 continue
             known = await self._registry.read()
             if not isinstance(known, StoreUnavailable):
                 first = False
-                self._take_members(known)
+                self._apply_members(known)
 
-    def _take_registry(self, known: RegistryEntries) -> None:
-        self._take_members(known)
+    def _apply_registry(self, known: RegistryEntries) -> None:
+        self._apply_members(known)
         if known.leader.epoch:
             now = time.monotonic()
             self._leadership.record_leader(known.leader.epoch, known.leader.node, now)
 
-    def _take_members(self, known: RegistryEntries) -> None:
+    def _apply_members(self, known: RegistryEntries) -> None:
         for key in known.unreadable:
             if key not in self._unreadable:
                 self._log.event("entry_unreadable", key=key)
         self._unreadable = frozenset(known.unreadable)
         for node, other in known.nodes.items():
             member = Member(node, other.address, other.hall, other.cores)
-            self._membership.learn(member)
+            self._membership.add_registered(member)
 
     async def _peer_loop(self, tasks: anyio.abc.TaskGroup) -> None:
         """Take up what others send; it may lie there already when this process starts."""
         async for envelope in self._peers.receive():
             message, sender = envelope.message, envelope.sender
             if isinstance(message, NodeStatus):
-                self._heard(message)
+                self._handle_status(message)
             elif isinstance(message, CallForwarded):
-                tasks.start_soon(self._forwarded, sender, message)
+                tasks.start_soon(self._answer_forwarded, sender, message)
             elif isinstance(message, CallAnswered):
-                self._forwarding.answered(message)
+                self._forwarding.record_answer(message)
             elif isinstance(message, LeaderResigned):
                 self._leadership.record_handover_request(message.epoch)
                 self._log.event("asked_to_take_over", by=sender, epoch=message.epoch)
 
-    def _heard(self, status: NodeStatus) -> None:
+    def _handle_status(self, status: NodeStatus) -> None:
         now = time.monotonic()
-        self._say(self._reports.heard(status, self._own_state(), now))
+        self._send_reports(self._reports.record_report(status, self._own_state(), now))
         if self._session is not None:
             self._session.observe_epoch(self._leadership.epoch)
         self._leader_changed()
 
-    def _say(self, reports: list[Report]) -> None:
+    def _send_reports(self, reports: list[Report]) -> None:
         for report in reports:
             for node in report.to:
                 member = self._membership.find(node)
                 if member is not None:
                     self._peers.connect(node, member.address)
             for node in self._peers.send_all(report.to, report.status):
-                if self._peers.opening(node):
-                    self._reports.unsent(node)
+                if self._peers.is_opening(node):
+                    self._reports.record_unsent(node)
 
     def _leader_changed(self) -> None:
         leader = self._leader()
-        if leader == self._leader_seen:
+        if leader == self._known_leader:
             return
-        self._leader_seen = leader
+        self._known_leader = leader
         if leader:
             self._connect_leader()
             self._log.event("leader_known", leader=leader, epoch=self._leadership.epoch)
@@ -301,12 +301,12 @@
             self._log.event("leader_lost", epoch=self._leadership.epoch)
         self._forwarding.leader_changed()
 
-    async def _forwarded(self, sender: str, message: CallForwarded) -> None:
+    async def _answer_forwarded(self, sender: str, message: CallForwarded) -> None:
         call = ClientCall(message.method, message.host, message.path, message.body)
         answer: ClientAnswer | None = None
         with anyio.move_on_after(message.left_s):
             try:
-                answer = await self._answer_here(call)
+                answer = await self._answer_locally(call)
             except Deposed:
                 # The sender asks the next decider; an answer now would only be in
                 # its way.
@@ -316,37 +316,37 @@
             return
         self._peers.connect(sender, message.reply_to)
         answered = CallAnswered(message.number, *answer)
-        with anyio.move_on_after(ANSWER_WAIT_S):
+        with anyio.move_on_after(ANSWER_SEND_TIMEOUT_S):
             while not self._peers.send(sender, answered):
-                await anyio.sleep(ANSWER_RETRY_S)
+                await anyio.sleep(ANSWER_RETRY_INTERVAL_S)
 
     async def _tick_loop(self, tasks: anyio.abc.TaskGroup) -> None:
         suspended = steadyclock.suspended_s()
         last = time.monotonic()
         while True:
             now = time.monotonic()
-            if steadyclock.suspended_s() - suspended > SUSPENDED_S:
+            if steadyclock.suspended_s() - suspended > MIN_LOGGED_SUSPENSION_S:
                 slept_s = steadyclock.suspended_s() - suspended
                 self._log.event("was_suspended", seconds=round(slept_s, 2))
             suspended = steadyclock.suspended_s()
-            if now - last > TICK_S * 8:
+            if now - last > TICK_INTERVAL_S * 8:
                 self._log.event("stood_still", seconds=round(now - last, 2))
             last = now
             self._leader_changed()
-            self._say(self._reports.due(self._own_state(), now))
-            self._peers.close_unused({*self._membership.targets, self._leader_seen})
+            self._send_reports(self._reports.due(self._own_state(), now))
+            self._peers.close_unused({*self._membership.targets, self._known_leader})
             if self._registered and not self._stopping:
                 if self._session is None:
-                    self._consider(now, tasks)
+                    self._consider_take_over(now, tasks)
                 elif self._serving:
                     self._consider_handing_over(now, tasks)
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(TICK_INTERVAL_S)
 
     def _consider_handing_over(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
         """Let a process on a much larger box decide."""
         better = self._leadership.handover_target(now, self._parameters.cores)
         if better and self._session is not None and not self._session.store_unavailable:
-            tasks.start_soon(self._hand_over, better, DRAIN_S)
+            tasks.start_soon(self._hand_over, better, DRAIN_TIMEOUT_S)
 
     async def _hand_over(self, successor: str, drain_s: float) -> None:
         """End this process's term; ``successor`` is asked to go on, if there is one."""
@@ -362,7 +362,9 @@
         self._log.event("handed_over", epoch=session.epoch, to=successor)
 
     def _report_now(self) -> None:
-        self._say(self._reports.all(self._own_state(), time.monotonic()))
+        self._send_reports(
+            self._reports.for_all_targets(self._own_state(), time.monotonic())
+        )
 
     def _own_state(self) -> OwnState:
         session = self._session
@@ -374,22 +376,22 @@
             taking_over=self._taking_over or (session is not None and not leading),
         )
 
-    def _consider(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
+    def _consider_take_over(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
         """Take over if that is due and nobody else decides. Meanwhile the others must
         go on hearing of this process, so the store is waited for elsewhere."""
-        if self._trying:
+        if self._attempting:
             return
         if not self._leadership.is_take_over_due(now):
             return
-        self._trying = True
-        tasks.start_soon(self._try_once, now, tasks)
+        self._attempting = True
+        tasks.start_soon(self._attempt_take_over, now, tasks)
 
-    async def _try_once(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
+    async def _attempt_take_over(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
         try:
             if self._leadership.lacks_stable_majority(now):
-                if now < self._ask_store_at:
+                if now < self._next_leader_check_at:
                     return
-                if await self._alive_elsewhere(now):
+                if await self._is_leader_alive_in_store(now):
                     return
                 # While the store was asked another may have begun.
                 now = time.monotonic()
@@ -399,33 +401,39 @@
             self._leadership.record_attempt(now)
             self._report_now()
             self._log.event("taking_over", **self._leadership.take_over_inputs(now))
-            await self._try_to_lead(tasks)
+            await self._claim_epoch(tasks)
         finally:
-            self._trying = self._taking_over = False
+            self._attempting = self._taking_over = False
 
-    async def _alive_elsewhere(self, now: float) -> bool:
+    async def _is_leader_alive_in_store(self, now: float) -> bool:
         """Say whether the store shows a decider at work that is not heard here."""
         known = await self._registry.read()
         if isinstance(known, StoreUnavailable):
-            self._ask_store_at = now + ASK_STORE_S
+            self._next_leader_check_at = now + MIN_LEADER_CHECK_INTERVAL_S
             return True
-        left_s = BEAT_LOST_S + self._leadership.stagger_s(now) - self._beat.age_s(known)
-        self._ask_store_at = time.monotonic() + max(ASK_STORE_S, left_s)
+        left_s = (
+            HEARTBEAT_TIMEOUT_S
+            + self._leadership.stagger_s(now)
+            - self._heartbeat_watch.age_s(known)
+        )
+        self._next_leader_check_at = time.monotonic() + max(
+            MIN_LEADER_CHECK_INTERVAL_S, left_s
+        )
         return left_s > 0.0
 
-    async def _try_to_lead(self, tasks: anyio.abc.TaskGroup) -> None:
+    async def _claim_epoch(self, tasks: anyio.abc.TaskGroup) -> None:
         known = await self._registry.read()
         if isinstance(known, StoreUnavailable):
             self._log.event("take_over_failed", reason=known.reason)
             return
         epoch_before = self._leadership.epoch
-        self._take_registry(known)
+        self._apply_registry(known)
         if self._leadership.epoch > epoch_before:
             # Somebody was faster; its reports will come now that it is known here.
             return
         epochs = (known.leader.epoch, self._leadership.epoch, self._refused_epoch)
         previous = max(epochs)
-        for _ in range(CATCH_UP_EPOCHS):
+        for _ in range(MAX_CLAIM_ATTEMPTS):
             epoch = next_epoch(previous, self._parameters.ip)
             incarnation = self._parameters.incarnation
             outcome = await take_over(self._sources.store, epoch, incarnation)
@@ -439,15 +447,15 @@
             previous = self._refused_epoch = epoch
         self._log.event("take_over_failed", reason="fenced", epoch=previous)
 
-    async def _lead(self, taken: EpochClaim) -> None:
+    async def _lead(self, claim: EpochClaim) -> None:
         session = Session(
-            self._sources, taken, self._parameters.scheduler, self._log, self._metrics
+            self._sources, claim, self._parameters.scheduler, self._log, self._metrics
         )
         self._session = session
         with anyio.CancelScope() as scope:
             self._session_scope = scope
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._beat_loop, taken.epoch)
+                tasks.start_soon(self._heartbeat_loop, claim.epoch)
                 await session.run(self._begin_serving)
                 tasks.cancel_scope.cancel()
         self._session = None
@@ -461,11 +469,11 @@
         self._report_now()
         self._leader_changed()
 
-    async def _beat_loop(self, epoch: int) -> None:
+    async def _heartbeat_loop(self, epoch: int) -> None:
         """Show in the store that this epoch's decider is alive."""
         for beat in itertools.count(1):
             await self._registry.beat(epoch, self._parameters.node, beat)
-            await anyio.sleep(BEAT_EVERY_S)
+            await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def stop(self, grace_s: float) -> None:
         """Hand over what is decided here and finish what waits here."""
@@ -474,7 +482,7 @@
         if self._session is not None:
             await self._hand_over(self._leadership.best_successor(started), grace_s / 4)
         while time.monotonic() - started < grace_s and not self.idle:
-            await anyio.sleep(TICK_S / 2)
+            await anyio.sleep(TICK_INTERVAL_S / 2)
 
     def give_up(self) -> None:
         """Answer what still waits: nobody will from here on."""
--- a/src/granitetrestle/peerlink.py
+++ b/src/granitetrestle/peerlink.py
@@ -18,19 +18,19 @@
 
 __all__ = ["PeerLink"]
 
-QUEUE = 200
-RECHECK_S = 1.0
+QUEUE_LIMIT = 200
+RECEIVE_RECHECK_INTERVAL_S = 1.0
 # A connection that has gone silent is given up within 1.5 s; requests wait for their
 # decider for less than that, so a client that comes back after a second is served.
-HEARTBEAT_MS = 500
+HEARTBEAT_INTERVAL_MS = 500
 HEARTBEAT_TIMEOUT_MS = 1000
 # As long as calls over HTTP wait for a connection to open.
 CONNECT_TIMEOUT_MS = 1000
-MAX_FRAME = 4 * 1024 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024
 # A connection is open within a few ms, or after a lost packet within a second.
-OPENING_S: t.Final = 1.0
+OPENING_TIMEOUT_S: t.Final = 1.0
 # A process answers requests of all others while it decides, and then hardly any.
-UNUSED_S: t.Final = 10.0
+UNUSED_TIMEOUT_S: t.Final = 10.0
 
 
 class _Peer:
@@ -48,7 +48,7 @@
         self.opening = True
 
 
-def _nobody(node: str, reason: str) -> None:
+def _ignore(node: str, reason: str) -> None:
     """Tell nobody."""
 
 
@@ -67,14 +67,14 @@
         self._token = token.encode()
         self._context = zmq.Context()
         self._inbound = self._context.socket(zmq.PULL)
-        self._inbound.setsockopt(zmq.RCVHWM, QUEUE * 10)
-        self._inbound.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME)
+        self._inbound.setsockopt(zmq.RCVHWM, QUEUE_LIMIT * 10)
+        self._inbound.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME_BYTES)
         self._inbound.setsockopt(zmq.LINGER, 0)
         self._inbound.bind(f"tcp://{bind}")
         self._peers: dict[str, _Peer] = {}
         self._not_opened = 0
         self.dropped = 0
-        self.on_not_opened: t.Callable[[str, str], None] = _nobody
+        self.on_not_opened: t.Callable[[str, str], None] = _ignore
 
     @property
     def connections(self) -> int:
@@ -104,12 +104,12 @@
         if peer is not None:
             peer.socket.close()
 
-    def opening(self, node: str) -> bool:
+    def is_opening(self, node: str) -> bool:
         """Say whether a connection was begun lately and has carried nothing yet."""
         peer = self._peers.get(node)
         if peer is None or not peer.opening:
             return False
-        return time.monotonic() - peer.opened_at < OPENING_S
+        return time.monotonic() - peer.opened_at < OPENING_TIMEOUT_S
 
     def close_unused(self, keep: t.Collection[str]) -> None:
         """Close connections that have carried nothing for long.
@@ -118,12 +118,12 @@
         """
         now = time.monotonic()
         for node, peer in list(self._peers.items()):
-            if node not in keep and now - peer.used_at > UNUSED_S:
+            if node not in keep and now - peer.used_at > UNUSED_TIMEOUT_S:
                 self.disconnect(node)
 
     def _open(self, address: str) -> zmq.SyncSocket:
         socket: zmq.SyncSocket = self._context.socket(zmq.PUSH)
-        socket.setsockopt(zmq.SNDHWM, QUEUE)
+        socket.setsockopt(zmq.SNDHWM, QUEUE_LIMIT)
         socket.setsockopt(zmq.LINGER, 0)
         socket.setsockopt(zmq.IMMEDIATE, 1)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, 1000)
@@ -132,7 +132,7 @@
         socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
         # A peer that lost power says nothing: give the connection up, so that what
         # is sent after its return goes over a new one.
-        socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
+        socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_INTERVAL_MS)
         socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
         socket.connect(f"tcp://{address}")
         return socket
@@ -147,9 +147,9 @@
         """Send to several without waiting; returns those for whom it was not queued."""
         envelope = Envelope(self._node, self._incarnation, message, trace)
         frames = [self._token, encode_envelope(envelope)]
-        return [node for node in nodes if not self._queue(node, frames)]
+        return [node for node in nodes if not self._send_frames(node, frames)]
 
-    def _queue(self, node: str, frames: list[bytes]) -> bool:
+    def _send_frames(self, node: str, frames: list[bytes]) -> bool:
         peer = self._peers.get(node)
         if peer is None:
             return False
@@ -171,11 +171,11 @@
         descriptor = int(self._inbound.getsockopt(zmq.FD))
         while True:
             while (frames := self._next_frames()) is not None:
-                envelope = self._opened(frames)
+                envelope = self._decode(frames)
                 if envelope is not None:
                     yield envelope
             # The descriptor signals edges; the time-out covers one missed.
-            with anyio.move_on_after(RECHECK_S):
+            with anyio.move_on_after(RECEIVE_RECHECK_INTERVAL_S):
                 await anyio.wait_readable(descriptor)
 
     def _next_frames(self) -> list[bytes] | None:
@@ -184,7 +184,7 @@
         except zmq.Again:
             return None
 
-    def _opened(self, frames: list[bytes]) -> Envelope | None:
+    def _decode(self, frames: list[bytes]) -> Envelope | None:
         if len(frames) == 2 and hmac.compare_digest(frames[0], self._token):
             with contextlib.suppress(FrameError):
                 return decode_envelope(frames[1])
--- a/src/granitetrestle/reports.py
+++ b/src/granitetrestle/reports.py
@@ -11,19 +11,19 @@
 __all__ = ["OwnState", "Report", "Reports"]
 
 # The decider's rhythm decides how soon its silence is noticed.
-LEADER_REPORT_S: t.Final = 0.2
-REPORT_S: t.Final = 0.4
+LEADER_REPORT_INTERVAL_S: t.Final = 0.2
+RELAY_REPORT_INTERVAL_S: t.Final = 0.4
 # A process that is no relay only has to stay subscribed.
-SUBSCRIBE_S: t.Final = 1.0
+SUBSCRIBE_INTERVAL_S: t.Final = 1.0
 # The relays change when processes come and go; who knows them only from one that is
 # gone has nobody to turn to.
-ASK_MEMBERS_S: t.Final = 5.0
+ROSTER_REQUEST_INTERVAL_S: t.Final = 5.0
 # What a relay passes on at most so often, unless somebody new decides; and by how much
 # fresher its news of the decider must be: the same report comes from several sides.
-PASS_ON_S: t.Final = 0.1
-NEWS_S: t.Final = 0.15
+MIN_RELAY_INTERVAL_S: t.Final = 0.1
+MIN_FRESHNESS_GAIN_S: t.Final = 0.15
 # Half of the rhythm at which reports are considered, so that none waits a turn longer.
-SLACK_S: t.Final = 0.05
+INTERVAL_TOLERANCE_S: t.Final = 0.05
 
 
 class OwnState(t.NamedTuple):
@@ -61,11 +61,11 @@
         self.leadership = Leadership(me.node, now, jitter, me.hall)
         self._me = me
         self._reported_at = -1e9
-        self._passed_on_at = -1e9
-        self._passed_on_sign = -1e9
+        self._relayed_at = -1e9
+        self._relayed_leader_heard_at = -1e9
         self._asked_members_at = -1e9
         self._unsent: set[str] = set()
-        self._told_address = ("", "")
+        self._reported_address = ("", "")
         self._targets: tuple[str, ...] = ()
 
     @property
@@ -75,39 +75,44 @@
         member = self.membership.find(leader)
         if member is not None:
             return member.address
-        return self._told_address[1] if self._told_address[0] == leader else ""
+        return self._reported_address[1] if self._reported_address[0] == leader else ""
 
-    def heard(self, status: NodeStatus, own: OwnState, now: float) -> list[Report]:
+    def record_report(
+        self, status: NodeStatus, own: OwnState, now: float
+    ) -> list[Report]:
         """Take up a report; returns what must be said at once."""
-        self.membership.heard(status.member, now)
+        self.membership.record_report(status.member, now)
         for member in status.members:
-            self.membership.told(member, now)
+            self.membership.record_indirect_report(member, now)
         before = self.leadership.newest_leader_report
         self.leadership.record_report(status, now)
         if status.leader == self.leadership.leader and status.leader_address:
-            self._told_address = (status.leader, status.leader_address)
-            self.membership.decides(status.leader)
+            self._reported_address = (status.leader, status.leader_address)
+            self.membership.confirm_leader(status.leader)
         reports = []
-        new = status.subscribes and self.membership.subscribe(status.node, now)
+        new = status.subscribes and self.membership.add_subscriber(status.node, now)
         if new or status.asks_members:
             answer = self._status(own, now, members=status.asks_members)
             reports.append(Report((status.node,), answer))
         epoch, heard_at = self.leadership.newest_leader_report
         if epoch > before[0]:
-            self._passed_on_at = -1e9
-        if epoch > before[0] or heard_at - self._passed_on_sign > NEWS_S:
-            reports += self._pass_on(own, now)
+            self._relayed_at = -1e9
+        if (
+            epoch > before[0]
+            or heard_at - self._relayed_leader_heard_at > MIN_FRESHNESS_GAIN_S
+        ):
+            reports += self._relay_report(own, now)
         return reports
 
-    def _pass_on(self, own: OwnState, now: float) -> list[Report]:
+    def _relay_report(self, own: OwnState, now: float) -> list[Report]:
         """Tell those who follow this process that the decider was heard."""
-        if now - self._passed_on_at < PASS_ON_S:
+        if now - self._relayed_at < MIN_RELAY_INTERVAL_S:
             return []
         to = tuple(self.membership.subscribers(now))
         if not to:
             return []
-        self._passed_on_at = now
-        self._passed_on_sign = self.leadership.newest_leader_report[1]
+        self._relayed_at = now
+        self._relayed_leader_heard_at = self.leadership.newest_leader_report[1]
         return [Report(to, self._status(own, now))]
 
     def due(self, own: OwnState, now: float) -> list[Report]:
@@ -118,46 +123,50 @@
             self.membership.relays, relaying, self.membership.cut_off
         )
         self.leadership.update_majority(now)
-        reports = self._again(own, now)
-        gone = self.membership.gone_to_try(now)
+        reports = self._retry_unsent(own, now)
+        gone = self.membership.expired_to_probe(now)
         if gone and relaying:
             reports.append(Report(gone, self._status(own, now, True, True)))
-        every = SUBSCRIBE_S
+        interval_s = SUBSCRIBE_INTERVAL_S
         if own.leading:
-            every = LEADER_REPORT_S
+            interval_s = LEADER_REPORT_INTERVAL_S
         elif relaying:
-            every = REPORT_S
+            interval_s = RELAY_REPORT_INTERVAL_S
         new = self.membership.targets != self._targets
-        if new or now - self._reported_at >= every - SLACK_S:
-            reports += self.all(own, now)
-        if now - self._passed_on_at >= REPORT_S - SLACK_S:
+        if new or now - self._reported_at >= interval_s - INTERVAL_TOLERANCE_S:
+            reports += self.for_all_targets(own, now)
+        if now - self._relayed_at >= RELAY_REPORT_INTERVAL_S - INTERVAL_TOLERANCE_S:
             # A relay that says nothing would be taken for dead when the decider is.
-            reports += self._pass_on(own, now)
+            reports += self._relay_report(own, now)
         return reports
 
-    def all(self, own: OwnState, now: float) -> list[Report]:
+    def for_all_targets(self, own: OwnState, now: float) -> list[Report]:
         """Report to everybody whom this process reports to, now."""
         self._targets = self.membership.targets
         self._reported_at = now
-        ask = now - self._asked_members_at > ASK_MEMBERS_S
+        ask = now - self._asked_members_at > ROSTER_REQUEST_INTERVAL_S
         if ask:
             self._asked_members_at = now
-        status = self._status(own, now, subscribes=True, asks=ask)
+        status = self._status(own, now, subscribes=True, asks_members=ask)
         reports = [Report(self._targets, status)]
-        return reports + self._pass_on(own, now) if own.leading else reports
+        return reports + self._relay_report(own, now) if own.leading else reports
 
-    def unsent(self, node: str) -> None:
+    def record_unsent(self, node: str) -> None:
         """Note that the connection to ``node`` was not open yet: a report goes there as
         soon as :meth:`due` is called again."""
         self._unsent.add(node)
 
-    def _again(self, own: OwnState, now: float) -> list[Report]:
-        again, self._unsent = self._unsent, set()
+    def _retry_unsent(self, own: OwnState, now: float) -> list[Report]:
+        unsent_nodes, self._unsent = self._unsent, set()
         reports = []
-        for asked in (True, False):
-            to = tuple(node for node in again if (node in self._targets) == asked)
+        for is_target in (True, False):
+            to = tuple(
+                node for node in unsent_nodes if (node in self._targets) == is_target
+            )
             if to:
-                status = self._status(own, now, subscribes=asked, asks=asked)
+                status = self._status(
+                    own, now, subscribes=is_target, asks_members=is_target
+                )
                 reports.append(Report(to, status))
         return reports
 
@@ -166,7 +175,7 @@
         own: OwnState,
         now: float,
         subscribes: bool = False,
-        asks: bool = False,
+        asks_members: bool = False,
         members: bool = False,
     ) -> NodeStatus:
         leadership = self.leadership
@@ -185,6 +194,6 @@
             leader_age_ms=None if age_s is None else int(age_s * 1000),
             leader_address=self.leader_address,
             subscribes=subscribes,
-            asks_members=asks,
+            asks_members=asks_members,
             members=self.membership.roster() if members else (),
         )
--- a/tools/native_mutants.py
+++ b/tools/native_mutants.py
@@ -79,7 +79,13 @@
     ),
     Mutant(
         "native: every refusal is passed on",
-        (("forwarding.py", "answer.status in REFUSALS and len(asked) > 1", "False"),),
+        (
+            (
+                "forwarding.py",
+                "answer.status in REFUSALS and len(attempts) > 1",
+                "False",
+            ),
+        ),
         "native_parts",
     ),
     Mutant(
@@ -217,7 +223,7 @@
     ),
     Mutant(
         "native: a request is kept until its deadline without a decider",
-        (("forwarding.py", "now - unreached_since > WAIT_FOR_LEADER_S", "False"),),
+        (("forwarding.py", "now - unreached_since > LEADER_WAIT_TIMEOUT_S", "False"),),
         "native_parts",
     ),
     Mutant(
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -142,8 +142,8 @@
         (
             (
                 "answering.py",
-                "        return True\n\n    def come_back_s",
-                "        return False\n\n    def come_back_s",
+                "        return True\n\n    def next_retry_after_s",
+                "        return False\n\n    def next_retry_after_s",
             ),
         ),
         "load_store_away",
