--- a/features/report_world.py
+++ b/features/report_world.py
@@ -138,7 +138,7 @@
         self.trying = True
         self.world.tried.add(self.name)
         self.leadership.record_attempt(now)
-        self.say(self.reports.for_all_targets(self.own, now), now)
+        self.say(self.reports.to_all(self.own, now), now)
         self.ask_store(self.read)
 
     def read(self, now):
@@ -153,7 +153,7 @@
         self.world.take(self, now)
         self.leadership.record_take_over(self.world.epoch, now)
         self.leading = True
-        self.say(self.reports.for_all_targets(self.own, now), now)
+        self.say(self.reports.to_all(self.own, now), now)
 
 
 class ReportWorld:
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -58,7 +58,7 @@
 REGISTRY_REREAD_INTERVAL_S: t.Final = 2.0
 # A process that hears too few others asks the store who decides: when the beat that it
 # saw last would have stood still for long enough, and no more often than this.
-MIN_LEADER_CHECK_INTERVAL_S: t.Final = 0.2
+LEADER_CHECK_INTERVAL_S: t.Final = 0.2
 # An answer waits so long for the connection to the process that asked, which is opened
 # when it first asks.
 ANSWER_SEND_TIMEOUT_S: t.Final = 1.0
@@ -129,7 +129,7 @@
         # Keys of entries that can't be read, as was said.
         self._unreadable: frozenset[str] = frozenset()
         self._leaderless_since = time.monotonic()
-        self._next_leader_check_at = 0.0
+        self._leader_check_at = 0.0
         # Newest epoch that the store refused; without it each try began below it again.
         self._refused_epoch = 0
         self._heartbeat_watch = HeartbeatWatch()
@@ -362,9 +362,7 @@
         self._log.event("handed_over", epoch=session.epoch, to=successor)
 
     def _report_now(self) -> None:
-        self._send_reports(
-            self._reports.for_all_targets(self._own_state(), time.monotonic())
-        )
+        self._send_reports(self._reports.to_all(self._own_state(), time.monotonic()))
 
     def _own_state(self) -> OwnState:
         session = self._session
@@ -389,7 +387,7 @@
     async def _attempt_take_over(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
         try:
             if self._leadership.lacks_stable_majority(now):
-                if now < self._next_leader_check_at:
+                if now < self._leader_check_at:
                     return
                 if await self._is_leader_alive_in_store(now):
                     return
@@ -409,16 +407,14 @@
         """Say whether the store shows a decider at work that is not heard here."""
         known = await self._registry.read()
         if isinstance(known, StoreUnavailable):
-            self._next_leader_check_at = now + MIN_LEADER_CHECK_INTERVAL_S
+            self._leader_check_at = now + LEADER_CHECK_INTERVAL_S
             return True
         left_s = (
             HEARTBEAT_TIMEOUT_S
             + self._leadership.stagger_s(now)
             - self._heartbeat_watch.age_s(known)
         )
-        self._next_leader_check_at = time.monotonic() + max(
-            MIN_LEADER_CHECK_INTERVAL_S, left_s
-        )
+        self._leader_check_at = time.monotonic() + max(LEADER_CHECK_INTERVAL_S, left_s)
         return left_s > 0.0
 
     async def _claim_epoch(self, tasks: anyio.abc.TaskGroup) -> None:
--- a/src/granitetrestle/reports.py
+++ b/src/granitetrestle/reports.py
@@ -134,13 +134,13 @@
             interval_s = RELAY_REPORT_INTERVAL_S
         new = self.membership.targets != self._targets
         if new or now - self._reported_at >= interval_s - INTERVAL_TOLERANCE_S:
-            reports += self.for_all_targets(own, now)
+            reports += self.to_all(own, now)
         if now - self._relayed_at >= RELAY_REPORT_INTERVAL_S - INTERVAL_TOLERANCE_S:
             # A relay that says nothing would be taken for dead when the decider is.
             reports += self._relay_report(own, now)
         return reports
 
-    def for_all_targets(self, own: OwnState, now: float) -> list[Report]:
+    def to_all(self, own: OwnState, now: float) -> list[Report]:
         """Report to everybody whom this process reports to, now."""
         self._targets = self.membership.targets
         self._reported_at = now
