--- a/src/granitetrestle/answering.py
+++ b/src/granitetrestle/answering.py
@@ -1,9 +1,9 @@
-"""Whether a decider answers what is forwarded to it.
+"""Circuit breaker for requests that are forwarded to the leader.
 
-The load it answers: a decider that reports that it decides, and is too busy, or stands too
-still, to answer anything. Each request that is sent to it waits until its time is over and
-ends in doubt. Who has waited in vain knows that the next would too: that one is refused
-before it is sent, which is true, and its client is told when to come back."""
+A leader may still report itself while it is too busy, or stalled for too long, to answer
+requests. Each request sent to it then waits until its deadline and ends with an unknown
+outcome. Once enough requests have gone unanswered, further ones are refused before they
+are sent. Such a refusal is certain, and it tells the client when to retry."""
 
 import itertools
 import time
@@ -11,20 +11,20 @@
 
 __all__ = ["AnswerWatch"]
 
-# A decider on a slow store answers within some 0.5 s, or refuses by itself; a request to
-# one that is gone is sent to the next within about a second.
+# A leader on a slow store answers or refuses within some 0.5 s. A request to one that has
+# failed is sent to its successor within about a second.
 ANSWER_TIMEOUT_S: t.Final = 1.2
-# So many requests must be without an answer: one alone may have been lost on its way.
+# A single request without an answer may be a lost message.
 MIN_OVERDUE_REQUESTS: t.Final = 3
-# One request in this time is sent all the same, to learn when answers come again.
+# One request per interval is still sent, to detect that the leader answers again.
 PROBE_INTERVAL_S: t.Final = 0.5
-# Clients come back spread over some seconds, not all together (seconds; HTTP carries whole
-# ones).
+# Used in turn, so that refused clients do not all retry at once. HTTP's Retry-After
+# carries whole seconds.
 RETRY_AFTER_CHOICES_S: t.Final = (1, 2, 3)
 
 
 class AnswerWatch:
-    """Follows the requests of one process that wait for one decider.
+    """Tracks the requests of one process that wait for an answer of one leader.
 
     :param clock: seconds on a steady clock.
     """
@@ -32,22 +32,25 @@
     def __init__(self, clock: t.Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
         self._target: object = None
-        # Request -> when it was first sent to the decider that is known now.
+        # Request -> when it was first sent to the current leader.
         self._sent_at: dict[int, float] = {}
         self._answered_at = -1e9
         self._probed_at = -1e9
         self._retry_after_choices = itertools.cycle(RETRY_AFTER_CHOICES_S)
 
     def record_sent(self, number: int, target: object) -> None:
-        """Note that a request was sent; a new decider starts with a clean record."""
+        """Record that a request was sent; a new target discards earlier records.
+
+        :param target: the leader and its epoch.
+        """
         if target != self._target:
             self._target = target
             self._sent_at.clear()
         self._sent_at.setdefault(number, self._clock())
 
     def record_answer(self, number: int) -> None:
-        """Note an answer of the decider: those that waited in vain before tell nothing
-        any more."""
+        """Record an answer of the leader. Requests that are overdue now no longer count
+        against it."""
         if self._sent_at.pop(number, None) is not None:
             now = self._answered_at = self._clock()
             self._sent_at = {
@@ -55,13 +58,14 @@
             }
 
     def remove(self, number: int) -> None:
-        """Forget a request: its client was answered, or has left."""
+        """Remove a request that has ended, unless it is overdue: it still counts then."""
         sent = self._sent_at.get(number)
         if sent is not None and not _is_overdue(sent, self._clock()):
             del self._sent_at[number]
 
     def should_refuse(self, target: object) -> bool:
-        """Say whether a request need not be sent, since it would not be answered."""
+        """Return whether to refuse a request, since it would not be answered; ``False``
+        for one request per probe interval."""
         now = self._clock()
         if target != self._target or now - self._answered_at < ANSWER_TIMEOUT_S:
             return False
@@ -76,7 +80,8 @@
         return True
 
     def next_retry_after_s(self) -> int:
-        """Return when the next client that is refused should come back."""
+        """Return the delay in seconds after which the next refused client should
+        retry."""
         return next(self._retry_after_choices)
 
 
--- a/src/granitetrestle/forwarding.py
+++ b/src/granitetrestle/forwarding.py
@@ -1,5 +1,6 @@
-"""Brings a client's request to the process that decides, again if that changes, and
-never says "not taken" of a request that some decider may have taken."""
+"""Forwarding of clients' requests to the leader, again if the leader changes.
+
+A client never gets a refusal for a request that some leader may have accepted."""
 
 import itertools
 import secrets
@@ -15,14 +16,15 @@
 
 __all__ = ["ClientAnswer", "ClientCall", "Deposed", "Forwarding", "Target"]
 
-# A hand-over takes some 0.2 s and a take-over after a kill about a second; a client
-# is told to come back rather than kept for longer than that.
+# A handover takes some 0.2 s and a take-over after a kill about a second. A client that
+# would wait longer is refused and retries.
 LEADER_WAIT_TIMEOUT_S: t.Final = 0.9
 RETRY_AFTER_S: t.Final = 1
-# A request that the decider has not answered is sent again: a message may be lost.
+# A request without an answer is sent again: messages may be lost.
 RESEND_INTERVAL_S: t.Final = 0.6
 RETRY_PAUSE_S: t.Final = 0.03
-# Two lives of a process number a day's requests alike once in some millions of years.
+# Two incarnations of a process use the same numbers for a day's requests once in some
+# millions of years.
 REQUEST_NUMBER_BITS: t.Final = 62
 SERVICE_UNAVAILABLE: t.Final = 503
 GATEWAY_TIMEOUT: t.Final = 504
@@ -30,11 +32,11 @@
 
 
 class Deposed(Exception):
-    """This process decides no more; the request belongs to its successor."""
+    """This process is no longer the leader; the request belongs to its successor."""
 
 
 class ClientCall(t.NamedTuple):
-    """A client's request as it came in."""
+    """A client's request as received."""
 
     method: str
     host: str
@@ -43,10 +45,11 @@
 
 
 class ClientAnswer(t.NamedTuple):
-    """What a client is told.
+    """The answer to a client.
 
-    :param retry_after_s: when to come back; 0 for no advice.
-    :param why: cause of a failure, for the log of the process that took the request.
+    :param status: HTTP status.
+    :param retry_after_s: delay after which to retry; 0 for no advice.
+    :param why: cause of a failure, for the log of the process that received the request.
     """
 
     status: int
@@ -56,14 +59,17 @@
 
 
 class Target(t.NamedTuple):
-    """A decider in one epoch."""
+    """A leader in one epoch."""
 
     node: str
     epoch: int
 
 
 class _PendingCall:
-    """A request on its way."""
+    """A request without an answer.
+
+    :ivar changed: set when the answer arrives, the leader changes or the process ends.
+    """
 
     __slots__ = ("answer", "changed")
 
@@ -73,11 +79,11 @@
 
 
 class Forwarding:
-    """The requests that this process has taken from clients.
+    """Forwards the requests that this process has received from clients.
 
-    :param address: where this process's peers reach it.
-    :param send: sends a message to a process; says whether it went.
-    :param answer_here: answers as the decider.
+    :param address: IP:PORT at which peers reach this process.
+    :param send: sends a message to a process; returns whether it was queued.
+    :param answer_locally: answers a request as the leader.
     """
 
     def __init__(
@@ -91,8 +97,8 @@
         self._address = address
         self._send = send
         self._answer_locally = answer_locally
-        # An answer to an earlier life of this process must not be taken for one of its
-        # own: lives number their requests from far apart.
+        # An answer to an earlier incarnation must not be taken for one to this one:
+        # each starts its numbers at random.
         self._numbers = itertools.count(secrets.randbits(REQUEST_NUMBER_BITS))
         self._pending: dict[int, _PendingCall] = {}
         self._answers = AnswerWatch()
@@ -100,21 +106,21 @@
 
     @property
     def open_calls(self) -> int:
-        """Requests without an answer."""
+        """Number of requests without an answer."""
         return len(self._pending)
 
     def leader_changed(self) -> None:
-        """Let all requests look for the decider again."""
+        """Let all requests without an answer determine the leader again."""
         for pending in self._pending.values():
             pending.changed.set()
 
     def close(self) -> None:
-        """Give all requests their final answer now: the process ends."""
+        """End the wait of all requests with their final answer: the process ends."""
         self._closed = True
         self.leader_changed()
 
     def record_answer(self, message: CallAnswered) -> None:
-        """Take up a decider's answer."""
+        """Record a leader's answer."""
         self._answers.record_answer(message.number)
         pending = self._pending.get(message.number)
         if pending is not None and pending.answer is None:
@@ -126,7 +132,10 @@
     async def serve(
         self, call: ClientCall, left_s: float, leader: t.Callable[[], Target | None]
     ) -> ClientAnswer:
-        """Answer a request within ``left_s`` seconds."""
+        """Return the answer to a request within ``left_s`` seconds.
+
+        :param leader: returns the leader that can answer now, or ``None``.
+        """
         number = next(self._numbers)
         pending = self._pending[number] = _PendingCall()
         attempts: list[Target] = []
@@ -175,7 +184,7 @@
             ):
                 after_s = self._answers.next_retry_after_s()
                 return ClientAnswer(
-                    SERVICE_UNAVAILABLE, b"", after_s, "no answers come"
+                    SERVICE_UNAVAILABLE, b"", after_s, "the leader answers no requests"
                 )
             if target is not None and self._forward(
                 number, call, target, left_s - (now - started)
@@ -187,7 +196,7 @@
             unreached_since = unreached_since or now
             if now - unreached_since > LEADER_WAIT_TIMEOUT_S:
                 return None
-            # The connection to a decider that is known is only being opened.
+            # With a target, only the connection to it is still being opened.
             await _wait_for_change(
                 pending, RETRY_PAUSE_S if target else LEADER_WAIT_TIMEOUT_S / 3
             )
@@ -218,7 +227,7 @@
 
 
 def _refusal() -> ClientAnswer:
-    return ClientAnswer(SERVICE_UNAVAILABLE, b"", RETRY_AFTER_S, "no decider is known")
+    return ClientAnswer(SERVICE_UNAVAILABLE, b"", RETRY_AFTER_S, "no leader is known")
 
 
 def _describe_attempts(attempts: list[Target]) -> str:
@@ -229,8 +238,9 @@
 def _without_false_refusal(
     call: ClientCall, answer: ClientAnswer, attempts: list[Target]
 ) -> ClientAnswer:
-    """A refusal is true only if the request was sent once: another message of it may
-    still be on its way, or have been taken by another decider."""
+    """Return the answer, or one of unknown outcome in place of a refusal of a request
+    that was sent more than once: another copy may still be in flight, or have been
+    accepted by another leader."""
     if call.method == "POST" and answer.status in REFUSALS and len(attempts) > 1:
         why = f"refused ({answer.why}), but {_describe_attempts(attempts)}"
         return ClientAnswer(GATEWAY_TIMEOUT, why=why)
--- a/src/granitetrestle/membership.py
+++ b/src/granitetrestle/membership.py
@@ -1,9 +1,10 @@
-"""Which processes there are, which of them relay reports, and whom this process
-reports to. Each relay reports to all relays; every other process reports to one relay
-of its data hall, which tells it who decides. What a process sends and receives so
-grows with the relays, of which there are as many in a large deployment as in a small
-one: with everybody reporting to everybody, 97 processes spent 0.10 of a core each on
-it at the mean, nine tenths of all they spent (one day's processor time)."""
+"""Cluster membership: the known processes, the relays among them, and the targets that
+this process reports to.
+
+Each relay reports to all relays. Every other process reports to one relay of its data
+hall, which tells it who the leader is. The messages of a process thus grow with the
+number of relays, which hardly grows with the deployment. With all-to-all reporting, 97
+processes used 0.10 of a core each for it on average, nine tenths of all they used."""
 
 import math
 import typing as t
@@ -13,36 +14,38 @@
 
 __all__ = ["Membership"]
 
-# So many relays there are at least, over all halls: deployments of up to a dozen
-# processes report to each other directly, and a majority of relays means something.
-# Beyond 144 processes there are as many as the root of their number, where what relays
-# say to each other and what each passes on cost about the same.
+# Minimum over all data halls: up to a dozen processes report to each other directly, and
+# a majority of the relays is meaningful. Beyond 144 processes the number of relays is
+# the square root of the number of processes, where the traffic between relays and the
+# reports that each relay forwards cost about the same.
 MIN_RELAYS: t.Final = 12
-# A hall goes on when a relay of it dies.
+# A data hall stays connected when one of its relays dies.
 MIN_RELAYS_PER_HALL: t.Final = 2
-# A relay that has not answered another for so long is replaced: three reports missed.
+# A relay that another relay has not heard for this long is replaced: three missed
+# reports.
 RELAY_TIMEOUT_S: t.Final = 1.3
-# The same for the relay of another process, which hears from it every 0.2 s: it must
-# find a new one before it would take the decider for lost, after 0.8 s.
+# The same for the relay that a non-relay reports to and hears every 0.2 s. It must find
+# a new relay before it considers the leader lost, after 0.8 s.
 UPSTREAM_TIMEOUT_S: t.Final = 0.5
-# After a relay fell silent, three are reported to for so long: others may have died
-# with it.
+# After its relay fell silent, a non-relay reports to this many relays for this time:
+# others may have died with it.
 FALLBACK_DURATION_S: t.Final = 2.0
 FALLBACK_UPSTREAMS: t.Final = 3
-# A process is reported to for so long after it asked for that; it asks every second.
+# Subscribers renew their subscription every second.
 SUBSCRIPTION_TIMEOUT_S: t.Final = 2.5
-# One that fell silent is tried again if others hear it so long after.
+# A process that fell silent is a relay candidate again if others hear it this much later.
 SILENT_RETRY_DELAY_S: t.Final = 2.0
-# One that was silent for so long counts as gone: it is no relay any more, and is only tried
-# now and then. It is remembered for longer than a cut of minutes between halls.
+# A process that has been silent for this long is expired: it is no relay any more and is
+# only probed at an interval. It is remembered beyond a network cut of minutes between
+# data halls.
 EXPIRY_TIMEOUT_S: t.Final = 30.0
 EXPIRED_PROBE_INTERVAL_S: t.Final = 2.0
 EXPIRED_RETENTION_S: t.Final = 1800.0
 
 
 class Membership:
-    """The processes of a deployment as one of them sees them. Times are in seconds on
-    the steady clock.
+    """Tracks the processes of a deployment as one of them knows them. Times are in
+    seconds on the steady clock.
 
     :param me: this process.
     """
@@ -50,9 +53,11 @@
     def __init__(self, me: Member) -> None:
         self._me = me
         self._members: dict[str, Member] = {me.node: me}
-        # Since when each target has been silent, or a target at all.
+        # Target -> when it last reported or became a target.
         self._last_report_at: dict[str, float] = {}
+        # Target -> when its silence was detected.
         self._silent_since: dict[str, float] = {}
+        # Process -> its entry and when it expired.
         self._expired: dict[str, tuple[Member, float]] = {}
         self._expired_probed_at = 0.0
         self._cut_off = False
@@ -78,26 +83,26 @@
 
     @property
     def relays(self) -> frozenset[str]:
-        """All relays but this process, also those that are silent."""
+        """All relays except this process, including silent ones."""
         return self._relays
 
     @property
     def targets(self) -> tuple[str, ...]:
-        """Whom this process reports to of its own accord."""
+        """The processes that this process reports to without their subscription."""
         return self._targets
 
     @property
     def cut_off(self) -> bool:
-        """Whether other data halls are known and no relay there answers."""
+        """Whether other data halls are known and all relays there are silent."""
         return self._cut_off
 
     def roster(self) -> tuple[Member, ...]:
-        """Return the relays that are not silent, and this process."""
+        """Return the relays that are not silent, and this process, sorted by name."""
         named = {*self._live_relays, self._me.node}
         return tuple(self._members[node] for node in sorted(named))
 
     def find(self, node: str) -> Member | None:
-        """Return a process by its name."""
+        """Return a process by its name, even if expired; ``None`` if unknown."""
         if node in self._expired:
             return self._expired[node][0]
         return self._members.get(node)
@@ -106,12 +111,12 @@
         return len(self._members)
 
     def add_registered(self, member: Member) -> None:
-        """Take up what the store tells of a process, perhaps one that is long gone."""
+        """Add a process that is registered in the store, unless it has expired."""
         if member.node not in self._expired:
             self._add(member)
 
     def record_indirect_report(self, member: Member, now: float) -> None:
-        """Take up hearsay of a relay that is heard elsewhere."""
+        """Record that another process lists ``member`` as a relay that it hears."""
         self._expired.pop(member.node, None)
         self._add(member)
         silent_since = self._silent_since.get(member.node)
@@ -120,12 +125,13 @@
             self._stale = True
 
     def confirm_leader(self, node: str) -> None:
-        """Take up from another that ``node`` decides: it is not gone."""
+        """Record that another process reports ``node`` as the leader, so that it has
+        not expired."""
         if node in self._expired:
             self._add(self._expired.pop(node)[0])
 
     def record_report(self, member: Member, now: float) -> None:
-        """Note that a process reported itself."""
+        """Record a report that ``member`` sent itself."""
         self._expired.pop(member.node, None)
         self._add(member)
         if member.node in self._last_report_at:
@@ -139,23 +145,25 @@
             self._stale = True
 
     def add_subscriber(self, node: str, now: float) -> bool:
-        """Report to ``node`` for a while; says whether that is new."""
+        """Start or renew the subscription of ``node`` to reports; return whether it had
+        none."""
         new = now - self._subscribed_at.get(node, -1e9) > SUBSCRIPTION_TIMEOUT_S
         self._subscribed_at[node] = now
         return new
 
     def subscribers(self, now: float) -> list[str]:
-        """Return those who asked for reports and are no target."""
+        """Return the subscribers that are no targets, and drop lapsed subscriptions."""
         for node, since in list(self._subscribed_at.items()):
             if now - since > SUBSCRIPTION_TIMEOUT_S:
                 del self._subscribed_at[node]
         return [node for node in self._subscribed_at if node not in self._targets]
 
     def update(self, leading: bool, leader: str, now: float) -> None:
-        """Take note of who has fallen silent; to be called several times a second.
+        """Detect silent targets and choose relays and targets again if needed; to be
+        called several times a second.
 
-        :param leading: whether this process decides; it is a relay then.
-        :param leader: who decides, as far as is known; relays hear it themselves.
+        :param leading: whether this process is the leader, which is always a relay.
+        :param leader: the known leader or an empty string; relays report to it directly.
         """
         if (leading, leader) != (self._leading, self._leader):
             self._leading, self._leader = leading, leader
@@ -182,8 +190,9 @@
         self._stale = True
 
     def expired_to_probe(self, now: float) -> tuple[str, ...]:
-        """Return who counts as gone and should be reported to all the same, now and
-        then: after a long cut somebody must begin."""
+        """Return the expired processes to report to now, or none between two probes.
+        Without probes, the two sides of a long network cut never find each other
+        again."""
         if (
             not self._expired
             or now - self._expired_probed_at < EXPIRED_PROBE_INTERVAL_S
@@ -222,8 +231,9 @@
         }
 
     def _ranked_relays(self) -> tuple[list[str], list[str]]:
-        """Return the relays if none were silent, and those that are not. The first are
-        reported to all the same: after a cut somebody must begin."""
+        """Return the relays as if no process were silent, and the relays among those that
+        are not. Relays report to the former too: without this, both sides of a network
+        cut would wait for the other to report first."""
         halls: dict[str, list[Member]] = {}
         for member in self._members.values():
             halls.setdefault(member.hall, []).append(member)
@@ -241,7 +251,7 @@
         return nominal, live
 
     def _select_upstreams(self, now: float) -> tuple[str, ...]:
-        """Return the relay to report to, or some more after one fell silent."""
+        """Return the relay to report to, or several after one fell silent."""
         local_relays: list[str] = []
         remote_relays: list[str] = []
         for node in self._live_relays:
@@ -256,5 +266,6 @@
         return tuple(ordered[: FALLBACK_UPSTREAMS if uses_fallbacks else 1])
 
     def _relay_hash(self, relay: str) -> int:
-        """Return a rank of a relay that differs by process, so that each has its share."""
+        """Return a sort key of a relay that differs between processes, so that the load
+        spreads over the relays."""
         return zlib.crc32(f"{self._me.node} {relay}".encode())
--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -1,5 +1,5 @@
-"""One process on the platform: takes clients' requests, follows who decides, hands
-requests on to that process, and decides itself while it holds the newest epoch."""
+"""One process of the system: receives clients' requests, tracks the leader, forwards
+requests to it, and is the leader itself while it holds the newest epoch."""
 
 import itertools
 import time
@@ -40,48 +40,46 @@
 
 __all__ = ["Node", "NodeParameters", "Responder"]
 
-# A suspension of the machine from which on it is noted; the two clocks that tell it are
-# read a moment apart.
+# Shorter ones can't be told from the delay between reading the two clocks.
 MIN_LOGGED_SUSPENSION_S: t.Final = 0.1
 TICK_INTERVAL_S: t.Final = 0.1
-# The decider shows in the store that it is at work; once that has stood still for so
-# long, a process that hears too few others may take over as well.
+# The leader writes a heartbeat to the store. Once it has been unchanged for the timeout,
+# a process that hears too few others for a majority may take over too.
 HEARTBEAT_INTERVAL_S: t.Final = 1.0
 HEARTBEAT_TIMEOUT_S: t.Final = 1.4
-# What a decider that hands over waits for its last append.
+# How long a leader that hands over waits for its last append.
 DRAIN_TIMEOUT_S: t.Final = 0.3
-# A process that knows no decider for so long asks for no new connections.
+# A process without a known leader for this long is not ready for new connections.
 LEADERLESS_TIMEOUT_S: t.Final = 1.5
 MAX_CLAIM_ATTEMPTS: t.Final = 5
-# Processes that enter the store while this one reads are read a little later; and who
-# hears nobody reads again, since everybody it knew may be gone.
+# The registry is read again once for processes that registered during the first read,
+# and as long as no other process is heard: all known ones may be gone.
 REGISTRY_REREAD_INTERVAL_S: t.Final = 2.0
-# A process that hears too few others asks the store who decides: when the beat that it
-# saw last would have stood still for long enough, and no more often than this.
+# A process that hears too few others checks the leader's heartbeat in the store when the
+# last one it read would have timed out, and no more often than this.
 LEADER_CHECK_INTERVAL_S: t.Final = 0.2
-# An answer waits so long for the connection to the process that asked, which is opened
-# when it first asks.
+# The connection to the sender of a request opens only with the first answer to it.
 ANSWER_SEND_TIMEOUT_S: t.Final = 1.0
 ANSWER_RETRY_INTERVAL_S: t.Final = 0.01
 
 
 class Responder(t.Protocol):
-    """Answers a client's request in the name of a session."""
+    """Answers clients' requests through a session."""
 
     async def answer(
         self, session: Session, request: str, call: ClientCall
     ) -> ClientAnswer:
         """Return the answer.
 
-        :raises Deposed: if the session ended first.
+        :raises Deposed: if the session ended before the answer.
         """
 
 
 class NodeParameters(t.NamedTuple):
-    """What a process is told at its start.
+    """Start parameters of a process.
 
-    :param address: IP:PORT for its peers.
-    :param cores: processor share of its box.
+    :param address: IP:PORT at which peers reach it.
+    :param cores: processor cores of its box that it may use.
     """
 
     node: str
@@ -126,14 +124,14 @@
         self._stopping = False
         self._registered = False
         self._known_leader = ""
-        # Keys of entries that can't be read, as was said.
+        # Keys of unreadable entries, as of the last read: each is logged once.
         self._unreadable: frozenset[str] = frozenset()
         self._leaderless_since = time.monotonic()
         self._leader_check_at = 0.0
-        # Newest epoch that the store refused; without it each try began below it again.
+        # Newest epoch the store refused; without it, attempts would start below it again.
         self._refused_epoch = 0
         self._heartbeat_watch = HeartbeatWatch()
-        # Whether the store is asked who decides, and whether the epoch is being raised.
+        # Whether the store is asked for the leader, and whether an epoch is being claimed.
         self._attempting = False
         self._taking_over = False
         self._requests = itertools.count(1)
@@ -148,12 +146,12 @@
 
     @property
     def metrics(self) -> NodeMetrics:
-        """The figures of this process."""
+        """The metrics of this process."""
         return self._metrics
 
     @property
     def ready(self) -> bool:
-        """Whether clients should be sent here."""
+        """Whether clients' connections should be directed to this process."""
         known = bool(self._leader()) or self._leaderless_s() < LEADERLESS_TIMEOUT_S
         return self._registered and known and not self._stopping
 
@@ -166,7 +164,7 @@
         return time.monotonic() - self._leaderless_since
 
     def _leader(self) -> str:
-        """Return who can answer requests now, or nothing."""
+        """Return the leader that can answer requests now, or an empty string."""
         now = time.monotonic()
         if self._session is not None:
             return self._parameters.node if self._serving else ""
@@ -186,7 +184,7 @@
             tasks.start_soon(self._tick_loop, tasks)
 
     async def serve(self, call: ClientCall, left_s: float) -> ClientAnswer:
-        """Answer a client's request within ``left_s`` seconds."""
+        """Return the answer to a client's request within ``left_s`` seconds."""
         return await self._forwarding.serve(call, left_s, self._target)
 
     async def _answer_locally(self, call: ClientCall) -> ClientAnswer:
@@ -209,7 +207,7 @@
             self._peers.connect(self._leadership.leader, address)
 
     async def _register(self) -> None:
-        """Learn of the other processes, and let them learn of this one."""
+        """Read the other processes from the store and register this one."""
         entry = NodeEntry(
             self._parameters.address, self._parameters.hall, self._parameters.cores
         )
@@ -230,8 +228,7 @@
         await self._reread_registry()
 
     async def _reread_registry(self) -> None:
-        """Learn of those that entered the store meanwhile, and of others whenever this
-        process hears nobody."""
+        """Read the registry once more, and again whenever no other process is heard."""
         first = True
         while True:
             await anyio.sleep(REGISTRY_REREAD_INTERVAL_S)
@@ -258,7 +255,7 @@
             self._membership.add_registered(member)
 
     async def _peer_loop(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Take up what others send; it may lie there already when this process starts."""
+        """Handle messages of other processes; some may have arrived before the start."""
         async for envelope in self._peers.receive():
             message, sender = envelope.message, envelope.sender
             if isinstance(message, NodeStatus):
@@ -308,11 +305,10 @@
             try:
                 answer = await self._answer_locally(call)
             except Deposed:
-                # The sender asks the next decider; an answer now would only be in
-                # its way.
+                # The sender forwards to the next leader; a refusal would end that.
                 return
         if answer is None:
-            # The sender has answered its client by now.
+            # The sender has answered its client at the deadline.
             return
         self._peers.connect(sender, message.reply_to)
         answered = CallAnswered(message.number, *answer)
@@ -343,13 +339,13 @@
             await anyio.sleep(TICK_INTERVAL_S)
 
     def _consider_handing_over(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
-        """Let a process on a much larger box decide."""
+        """Hand over to a process on a much larger box, if there is one."""
         better = self._leadership.handover_target(now, self._parameters.cores)
         if better and self._session is not None and not self._session.store_unavailable:
             tasks.start_soon(self._hand_over, better, DRAIN_TIMEOUT_S)
 
     async def _hand_over(self, successor: str, drain_s: float) -> None:
-        """End this process's term; ``successor`` is asked to go on, if there is one."""
+        """Stop leading; ``successor`` is asked to take over, unless it is empty."""
         session, scope = self._session, self._session_scope
         if session is None or scope is None:
             return
@@ -375,8 +371,7 @@
         )
 
     def _consider_take_over(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
-        """Take over if that is due and nobody else decides. Meanwhile the others must
-        go on hearing of this process, so the store is waited for elsewhere."""
+        """Start an attempt to take over if due; reports go on while the store is read."""
         if self._attempting:
             return
         if not self._leadership.is_take_over_due(now):
@@ -391,7 +386,7 @@
                     return
                 if await self._is_leader_alive_in_store(now):
                     return
-                # While the store was asked another may have begun.
+                # Another process may have started to take over meanwhile.
                 now = time.monotonic()
                 if not self._leadership.is_take_over_due(now):
                     return
@@ -404,7 +399,7 @@
             self._attempting = self._taking_over = False
 
     async def _is_leader_alive_in_store(self, now: float) -> bool:
-        """Say whether the store shows a decider at work that is not heard here."""
+        """Return ``False`` only if the store shows that the leader's heartbeat stopped."""
         known = await self._registry.read()
         if isinstance(known, StoreUnavailable):
             self._leader_check_at = now + LEADER_CHECK_INTERVAL_S
@@ -425,7 +420,7 @@
         epoch_before = self._leadership.epoch
         self._apply_registry(known)
         if self._leadership.epoch > epoch_before:
-            # Somebody was faster; its reports will come now that it is known here.
+            # Another process has taken over first and will report, now that it is known.
             return
         epochs = (known.leader.epoch, self._leadership.epoch, self._refused_epoch)
         previous = max(epochs)
@@ -466,13 +461,13 @@
         self._leader_changed()
 
     async def _heartbeat_loop(self, epoch: int) -> None:
-        """Show in the store that this epoch's decider is alive."""
+        """Write heartbeats of this epoch's leader to the store."""
         for beat in itertools.count(1):
             await self._registry.beat(epoch, self._parameters.node, beat)
             await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def stop(self, grace_s: float) -> None:
-        """Hand over what is decided here and finish what waits here."""
+        """Hand over leadership and finish open requests within ``grace_s`` seconds."""
         self._stopping = True
         started = time.monotonic()
         if self._session is not None:
@@ -481,11 +476,11 @@
             await anyio.sleep(TICK_INTERVAL_S / 2)
 
     def give_up(self) -> None:
-        """Answer what still waits: nobody will from here on."""
+        """Give all open requests their final answer: no other will come."""
         self._forwarding.close()
 
     def figures(self) -> dict[str, float]:
-        """Return what this process believes now, for its metrics."""
+        """Return the current state of this process for its metrics, by gauge name."""
         session = self._session
         state = session.scheduler.state if session is not None else None
         load = session.load(time.monotonic()) if session is not None else {}
--- a/src/granitetrestle/peerlink.py
+++ b/src/granitetrestle/peerlink.py
@@ -1,6 +1,7 @@
-"""Adapter for messages between the system's own processes, over zmq push and
-pull sockets. A full queue drops: every message is repeated by a tick or has its
-own deadline, and an old one is worth less than none."""
+"""Message transport between the processes of the system, over zmq push and pull sockets.
+
+A full queue drops new messages: every message is repeated on a tick or has its own
+deadline, and an outdated one does more harm than a lost one."""
 
 import contextlib
 import hmac
@@ -20,23 +21,23 @@
 
 QUEUE_LIMIT = 200
 RECEIVE_RECHECK_INTERVAL_S = 1.0
-# A connection that has gone silent is given up within 1.5 s; requests wait for their
-# decider for less than that, so a client that comes back after a second is served.
+# A silent connection is closed within 1.5 s, the sum of both. Requests wait for the
+# leader for less than that, so a client that retries after a second is served.
 HEARTBEAT_INTERVAL_MS = 500
 HEARTBEAT_TIMEOUT_MS = 1000
-# As long as calls over HTTP wait for a connection to open.
+# The same as for calls over HTTP.
 CONNECT_TIMEOUT_MS = 1000
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-# A connection is open within a few ms, or after a lost packet within a second.
+# A connection opens within a few ms, or within a second after a lost packet.
 OPENING_TIMEOUT_S: t.Final = 1.0
-# A process answers requests of all others while it decides, and then hardly any.
+# A process answers requests from all others while it leads, and hardly any afterwards.
 UNUSED_TIMEOUT_S: t.Final = 10.0
 
 
 class _Peer:
     """A connection to another process.
 
-    :ivar opening: whether nothing has gone over it yet.
+    :ivar opening: whether no message has been queued on it yet.
     """
 
     __slots__ = ("address", "opened_at", "opening", "socket", "used_at")
@@ -49,15 +50,17 @@
 
 
 def _ignore(node: str, reason: str) -> None:
-    """Tell nobody."""
+    """Do nothing."""
 
 
 class PeerLink:
-    """Sends to and receives from other processes of the system. Connections are opened
-    when something is to be sent, and closed again when that was long ago.
+    """Sends messages to other processes of the system and receives theirs. Connections
+    are opened when there is a message to send, and closed when unused.
 
-    :ivar on_not_opened: told once of the process and the reason when no connection can be
-        opened, until one can again.
+    :ivar dropped: messages dropped: on a full queue, malformed, or with a wrong token.
+    :ivar on_not_opened: called with the process and the reason when no connection can be
+        opened, once until one can again.
+    :param token: shared secret in the first frame of every message.
     :param bind: IP:PORT at which the others reach this process.
     """
 
@@ -78,11 +81,14 @@
 
     @property
     def connections(self) -> int:
-        """How many processes this one has a connection to."""
+        """Number of processes that this one has a connection to."""
         return len(self._peers)
 
     def connect(self, node: str, address: str) -> None:
-        """Learn where ``node`` listens; it may have moved."""
+        """Open a connection to ``node``, or replace it if the address has changed.
+
+        :param address: IP:PORT.
+        """
         peer = self._peers.get(node)
         if node == self._node or (peer is not None and peer.address == address):
             return
@@ -90,7 +96,7 @@
         try:
             socket = self._open(address)
         except zmq.ZMQError as error:
-            # Out of descriptors: who wants to send tries again, as if it were lost.
+            # Out of file descriptors: callers retry as for a lost message.
             self._not_opened += 1
             if self._not_opened == 1:
                 self.on_not_opened(node, str(error))
@@ -105,16 +111,17 @@
             peer.socket.close()
 
     def is_opening(self, node: str) -> bool:
-        """Say whether a connection was begun lately and has carried nothing yet."""
+        """Return whether a connection to ``node`` is being opened and has queued no
+        message yet."""
         peer = self._peers.get(node)
         if peer is None or not peer.opening:
             return False
         return time.monotonic() - peer.opened_at < OPENING_TIMEOUT_S
 
     def close_unused(self, keep: t.Collection[str]) -> None:
-        """Close connections that have carried nothing for long.
+        """Close connections that have been unused for longer than the timeout.
 
-        :param keep: whom this process will go on sending to.
+        :param keep: processes whose connections stay open.
         """
         now = time.monotonic()
         for node, peer in list(self._peers.items()):
@@ -127,24 +134,26 @@
         socket.setsockopt(zmq.LINGER, 0)
         socket.setsockopt(zmq.IMMEDIATE, 1)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, 1000)
-        # The system asks a path that is back ever more rarely: without it a process can't
-        # reach the decider, and refuses its clients, for about as long again as a cut.
+        # The operating system retries a connection at growing intervals. Without this
+        # timeout, a process can't reach the leader and refuses its clients for about as
+        # long after a network cut as the cut lasted.
         socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
-        # A peer that lost power says nothing: give the connection up, so that what
-        # is sent after its return goes over a new one.
+        # A peer that lost power does not close its connections. Without heartbeats,
+        # messages sent after its return would go over the dead connection.
         socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_INTERVAL_MS)
         socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
         socket.connect(f"tcp://{address}")
         return socket
 
     def send(self, node: str, message: Message, trace: str = "") -> bool:
-        """Send without waiting; says whether it was queued."""
+        """Send without waiting; return whether the message was queued."""
         return not self.send_all((node,), message, trace)
 
     def send_all(
         self, nodes: t.Iterable[str], message: Message, trace: str = ""
     ) -> list[str]:
-        """Send to several without waiting; returns those for whom it was not queued."""
+        """Send to several processes without waiting; return those for which the message
+        was not queued."""
         envelope = Envelope(self._node, self._incarnation, message, trace)
         frames = [self._token, encode_envelope(envelope)]
         return [node for node in nodes if not self._send_frames(node, frames)]
@@ -163,10 +172,11 @@
         return True
 
     async def receive(self) -> t.AsyncIterator[Envelope]:
-        """Yield messages; malformed and foreign ones are dropped.
+        """Yield received messages. Malformed ones, and those without this system's token,
+        are dropped.
 
-        Waits on the socket's descriptor and then takes all that is there: the
-        asyncio wrapper of zmq costs several times as much a message.
+        Waits for the socket's descriptor and then reads all available messages: the
+        asyncio wrapper of zmq costs several times as much per message.
         """
         descriptor = int(self._inbound.getsockopt(zmq.FD))
         while True:
@@ -174,7 +184,7 @@
                 envelope = self._decode(frames)
                 if envelope is not None:
                     yield envelope
-            # The descriptor signals edges; the time-out covers one missed.
+            # The descriptor is edge-triggered; the timeout covers a missed edge.
             with anyio.move_on_after(RECEIVE_RECHECK_INTERVAL_S):
                 await anyio.wait_readable(descriptor)
 
--- a/src/granitetrestle/reports.py
+++ b/src/granitetrestle/reports.py
@@ -1,5 +1,7 @@
-"""What a process tells the others about itself, whom, and when. Pure: :mod:`.node`
-sends what comes out, a test carries it through a model of the network."""
+"""Status reports between processes: their content, receivers and schedule.
+
+This module does no input or output: :mod:`.node` sends the reports, and tests carry them
+through a model of the network."""
 
 import typing as t
 
@@ -10,29 +12,29 @@
 
 __all__ = ["OwnState", "Report", "Reports"]
 
-# The decider's rhythm decides how soon its silence is noticed.
+# The interval of the leader determines how soon its silence is detected.
 LEADER_REPORT_INTERVAL_S: t.Final = 0.2
 RELAY_REPORT_INTERVAL_S: t.Final = 0.4
-# A process that is no relay only has to stay subscribed.
+# A process that is no relay only has to renew its subscription.
 SUBSCRIBE_INTERVAL_S: t.Final = 1.0
-# The relays change when processes come and go; who knows them only from one that is
-# gone has nobody to turn to.
+# The relays change as processes join and leave. Without regular requests, a process that
+# learned of the relays only from one that has left has none to report to.
 ROSTER_REQUEST_INTERVAL_S: t.Final = 5.0
-# What a relay passes on at most so often, unless somebody new decides; and by how much
-# fresher its news of the decider must be: the same report comes from several sides.
+# A relay passes leader reports on no more often than this, unless the leader is new, and
+# only if they are this much fresher: the same report arrives by several paths.
 MIN_RELAY_INTERVAL_S: t.Final = 0.1
 MIN_FRESHNESS_GAIN_S: t.Final = 0.15
-# Half of the rhythm at which reports are considered, so that none waits a turn longer.
+# Half of the tick at which due reports are checked, so that none waits a further tick.
 INTERVAL_TOLERANCE_S: t.Final = 0.05
 
 
 class OwnState(t.NamedTuple):
-    """What a process knows of itself.
+    """The state of a process that goes into its own reports.
 
-    :param leading: whether it decides, and can answer.
-    :param store_ok: whether the store answered it of late, or was not asked.
+    :param leading: whether it is the leader and can answer requests.
+    :param store_ok: whether the store answered its last calls, or none was made.
     :param ready: whether it may take over.
-    :param taking_over: whether it is about to decide.
+    :param taking_over: whether it is claiming an epoch or not serving in it yet.
     """
 
     leading: bool
@@ -42,14 +44,14 @@
 
 
 class Report(t.NamedTuple):
-    """A status, and the names of those that it goes to."""
+    """A status and the names of its receivers."""
 
     to: tuple[str, ...]
     status: NodeStatus
 
 
 class Reports:
-    """Keeps the processes of a deployment informed of each other.
+    """Produces the status reports of one process and records those it receives.
 
     :param me: this process.
     :param now: seconds on the steady clock, as in all calls.
@@ -70,7 +72,7 @@
 
     @property
     def leader_address(self) -> str:
-        """Where the decider's peers reach it; empty if that is not known."""
+        """IP:PORT at which peers reach the leader; empty if not known."""
         leader = self.leadership.leader
         member = self.membership.find(leader)
         if member is not None:
@@ -80,7 +82,7 @@
     def record_report(
         self, status: NodeStatus, own: OwnState, now: float
     ) -> list[Report]:
-        """Take up a report; returns what must be said at once."""
+        """Record a report of another process; return the reports to send at once."""
         self.membership.record_report(status.member, now)
         for member in status.members:
             self.membership.record_indirect_report(member, now)
@@ -105,7 +107,8 @@
         return reports
 
     def _relay_report(self, own: OwnState, now: float) -> list[Report]:
-        """Tell those who follow this process that the decider was heard."""
+        """Return a report to the subscribers on the leader's newest report, unless the
+        last one was too recent."""
         if now - self._relayed_at < MIN_RELAY_INTERVAL_S:
             return []
         to = tuple(self.membership.subscribers(now))
@@ -136,12 +139,12 @@
         if new or now - self._reported_at >= interval_s - INTERVAL_TOLERANCE_S:
             reports += self.to_all(own, now)
         if now - self._relayed_at >= RELAY_REPORT_INTERVAL_S - INTERVAL_TOLERANCE_S:
-            # A relay that says nothing would be taken for dead when the decider is.
+            # Without this, subscribers would take the relay for dead when the leader is.
             reports += self._relay_report(own, now)
         return reports
 
     def to_all(self, own: OwnState, now: float) -> list[Report]:
-        """Report to everybody whom this process reports to, now."""
+        """Return reports to all targets, and to the subscribers if this process leads."""
         self._targets = self.membership.targets
         self._reported_at = now
         ask = now - self._asked_members_at > ROSTER_REQUEST_INTERVAL_S
@@ -152,8 +155,8 @@
         return reports + self._relay_report(own, now) if own.leading else reports
 
     def record_unsent(self, node: str) -> None:
-        """Note that the connection to ``node`` was not open yet: a report goes there as
-        soon as :meth:`due` is called again."""
+        """Record that the connection to ``node`` was not open yet. The next call of
+        :meth:`due` returns a report to it."""
         self._unsent.add(node)
 
     def _retry_unsent(self, own: OwnState, now: float) -> list[Report]:
