--- a/src/granitetrestle/errors.py
+++ b/src/granitetrestle/errors.py
@@ -70,7 +70,7 @@
     def __init__(self, unknown: t.Sequence[str], known: t.Sequence[str]) -> None:
         names = ", ".join(known)
         super().__init__(
-            [f"{word!r} is no mechanism; known: {names}" for word in unknown]
+            [f"{name!r} is no mechanism; known: {names}" for name in unknown]
         )
         self.unknown = tuple(unknown)
         self.known = tuple(known)
--- a/src/granitetrestle/nodelog.py
+++ b/src/granitetrestle/nodelog.py
@@ -14,23 +14,26 @@
 
 # Lines of one kind that may be written at once, and how many more each second. A
 # kind over its budget is counted, and the count is written with its next line.
-BURST: t.Final = 60
-PER_S: t.Final = 15.0
+MAX_BURST_LINES: t.Final = 60
+MAX_LINES_PER_S: t.Final = 15.0
 
 
-class _Budget:
+class _TokenBucket:
     """A token bucket, in lines."""
 
-    __slots__ = ("at", "dropped", "tokens")
+    __slots__ = ("dropped", "refilled_at", "tokens")
 
     def __init__(self, now: float) -> None:
-        self.tokens = float(BURST)
-        self.at = now
+        self.tokens = float(MAX_BURST_LINES)
+        self.refilled_at = now
         self.dropped = 0
 
     def take(self, now: float) -> bool:
-        self.tokens = min(float(BURST), self.tokens + (now - self.at) * PER_S)
-        self.at = now
+        self.tokens = min(
+            float(MAX_BURST_LINES),
+            self.tokens + (now - self.refilled_at) * MAX_LINES_PER_S,
+        )
+        self.refilled_at = now
         if self.tokens < 1.0:
             self.dropped += 1
             return False
@@ -38,12 +41,12 @@
         return True
 
 
-class _NonBlocking:
+class _NonBlockingWriter:
     """Writes whole lines to a descriptor, or drops them."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._rest = b""
+        self._unwritten = b""
         self.dropped = 0
         # A descriptor that can't be switched, as a plain file, does not block.
         with contextlib.suppress(OSError):
@@ -51,14 +54,14 @@
 
     def write(self, line: bytes) -> None:
         """Write ``line`` if there is room for it now."""
-        if self._rest:
-            self._rest = self._put(self._rest)
-        if self._rest:
+        if self._unwritten:
+            self._unwritten = self._try_write(self._unwritten)
+        if self._unwritten:
             self.dropped += 1
             return
-        self._rest = self._put(line)
+        self._unwritten = self._try_write(line)
 
-    def _put(self, data: bytes) -> bytes:
+    def _try_write(self, data: bytes) -> bytes:
         try:
             return data[os.write(self._descriptor, data) :]
         except BlockingIOError:
@@ -83,14 +86,14 @@
         **bound: t.Any,
     ) -> None:
         self._count = count
-        self._sink = _NonBlocking(descriptor)
-        self._budgets: dict[str, _Budget] = {}
+        self._writer = _NonBlockingWriter(descriptor)
+        self._buckets: dict[str, _TokenBucket] = {}
         processors: list[t.Any] = [
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.JSONRenderer(serializer=_serialize),
         ]
         self._logger = structlog.wrap_logger(
-            _Lines(self._sink),
+            _LineLogger(self._writer),
             processors=processors,
             wrapper_class=structlog.BoundLogger,
         ).bind(**bound)
@@ -98,33 +101,33 @@
     @property
     def dropped(self) -> int:
         """Lines that the reader did not take."""
-        return self._sink.dropped
+        return self._writer.dropped
 
     def event(self, event: str, /, **fields: t.Any) -> None:
         """Write a line, if its kind has budget left."""
         if self._count is not None:
             self._count(event)
         now = time.monotonic()
-        budget = self._budgets.get(event)
-        if budget is None:
-            budget = self._budgets[event] = _Budget(now)
-        if not budget.take(now):
+        bucket = self._buckets.get(event)
+        if bucket is None:
+            bucket = self._buckets[event] = _TokenBucket(now)
+        if not bucket.take(now):
             return
-        if budget.dropped:
-            fields["lines_dropped"] = budget.dropped
-            budget.dropped = 0
+        if bucket.dropped:
+            fields["lines_dropped"] = bucket.dropped
+            bucket.dropped = 0
         self._logger.info(event, **fields)
 
 
-class _Lines:
+class _LineLogger:
     """What structlog takes for a logger: one method that writes a line."""
 
-    def __init__(self, sink: _NonBlocking) -> None:
-        self._sink = sink
+    def __init__(self, writer: _NonBlockingWriter) -> None:
+        self._writer = writer
 
     def info(self, line: str) -> None:
         """Write a rendered line."""
-        self._sink.write(line.encode() + b"\n")
+        self._writer.write(line.encode() + b"\n")
 
 
 def _serialize(fields: t.Any, **_: t.Any) -> str:
--- a/src/granitetrestle/nodemetrics.py
+++ b/src/granitetrestle/nodemetrics.py
@@ -7,7 +7,19 @@
 __all__ = ["NodeMetrics"]
 
 # Bounds in seconds, from a call in the same hall to a client's whole patience.
-BUCKETS: t.Final = (0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.3, 0.6, 1.2, 2.5, 5.0)
+LATENCY_BUCKETS_S: t.Final = (
+    0.005,
+    0.01,
+    0.02,
+    0.04,
+    0.08,
+    0.15,
+    0.3,
+    0.6,
+    1.2,
+    2.5,
+    5.0,
+)
 
 
 class NodeMetrics:
@@ -31,7 +43,7 @@
             "granitetrestle_latency_seconds",
             "Durations by what was done",
             ["what"],
-            buckets=BUCKETS,
+            buckets=LATENCY_BUCKETS_S,
             registry=self._registry,
         )
         self._gauges = prometheus_client.Gauge(
@@ -46,17 +58,17 @@
         """Count decisions of a kind."""
         self._events.labels(event).inc(number)
 
-    def answered(self, kind: str, status: int, seconds: float) -> None:
+    def record_answer(self, kind: str, status: int, seconds: float) -> None:
         """Count an answer to a client."""
         self._answers.labels(kind, str(status)).inc()
         self.observe(f"answer_{kind}", seconds)
 
-    def observe(self, what: str, seconds: float) -> None:
+    def observe(self, name: str, seconds: float) -> None:
         """Record a duration."""
-        self._latency.labels(what).observe(seconds)
+        self._latency.labels(name).observe(seconds)
 
     def render(self, state: t.Mapping[str, float]) -> bytes:
         """Return all figures as text, with what the process believes now."""
-        for what, value in state.items():
-            self._gauges.labels(what).set(value)
+        for name, value in state.items():
+            self._gauges.labels(name).set(value)
         return prometheus_client.generate_latest(self._registry)
--- a/src/granitetrestle/platform/server.py
+++ b/src/granitetrestle/platform/server.py
@@ -146,7 +146,7 @@
     left_s = _deadline_s(headers) - ANSWER_SLACK_S - (time.monotonic() - began)
     answer = await node.serve(call, max(left_s, ANSWER_SLACK_S))
     took_s = time.monotonic() - began
-    node.metrics.answered(call.method, answer.status, took_s)
+    node.metrics.record_answer(call.method, answer.status, took_s)
     if answer.status >= 400 and answer.status not in (404, 410):
         node.log.event(
             "request_failed",
