--- a/src/granitetrestle/errors.py
+++ b/src/granitetrestle/errors.py
@@ -1,7 +1,7 @@
-"""All exceptions of the package in one place, under one base, so that a caller
-can catch :class:`GranitetrestleError` and read from the subclass what to do
-next. Each carries a stable ``code``, the HTTP status the API answers with, and
-the exit code of the command line."""
+"""Exceptions of the package, all subclasses of :class:`GranitetrestleError`.
+
+The subclass tells a caller how to proceed. Each has a stable ``code``, the HTTP status of
+the API's answer, and the exit code of the command line."""
 
 import typing as t
 
@@ -28,10 +28,10 @@
 
 
 class GranitetrestleError(Exception):
-    """Base of every error that this package raises.
+    """Base of the package's exceptions.
 
-    :param message: what happened, for a person.
-    :param next_step: what the reader can do about it.
+    :param message: description of the error, for a person.
+    :param next_step: advice on how to resolve it.
     """
 
     code: t.ClassVar[str] = "internal"
@@ -59,10 +59,10 @@
 
 
 class UnknownMechanism(SettingsError):
-    """A mechanism to switch off is not one of ours; nothing was started.
+    """The name of a mechanism to switch off is unknown; nothing was started.
 
-    :param unknown: the words that name none.
-    :param known: every name there is.
+    :param unknown: the unknown names.
+    :param known: the names of all mechanisms.
     """
 
     code = "unknown_mechanism"
@@ -70,7 +70,7 @@
     def __init__(self, unknown: t.Sequence[str], known: t.Sequence[str]) -> None:
         names = ", ".join(known)
         super().__init__(
-            [f"{name!r} is no mechanism; known: {names}" for name in unknown]
+            [f"unknown mechanism {name!r}; known: {names}" for name in unknown]
         )
         self.unknown = tuple(unknown)
         self.known = tuple(known)
@@ -85,7 +85,7 @@
 
 
 class AccessDenied(GranitetrestleError):
-    """The bearer token is missing, wrong, or not enough for this call."""
+    """The bearer token is missing, invalid, or lacks the permission for this call."""
 
     code = "access_denied"
     http_status = 403
@@ -93,7 +93,7 @@
 
 
 class CallerGone(GranitetrestleError):
-    """The caller hung up before its request was sent; it was not run."""
+    """The caller closed its connection before its request was sent; it was not run."""
 
     code = "caller_gone"
     http_status = 499
@@ -108,7 +108,7 @@
 
 
 class ConflictError(GranitetrestleError):
-    """Another edit won the race for a cell; this one changed nothing."""
+    """A concurrent edit changed the cell first; this one changed nothing."""
 
     code = "conflict"
     http_status = 409
@@ -118,7 +118,7 @@
 class NotRunError(GranitetrestleError):
     """The request was proved not to have run; it is safe to send it again.
 
-    :param retry_after_s: when to come back, in seconds.
+    :param retry_after_s: delay in seconds after which to retry.
     """
 
     code = "not_run"
@@ -131,7 +131,7 @@
 
 
 class OutcomeUnknown(GranitetrestleError):
-    """The request may or may not have taken effect; look before repeating."""
+    """The request may or may not have taken effect; check before repeating it."""
 
     code = "unknown"
     http_status = 504
@@ -147,28 +147,31 @@
 
 
 class LogUnavailable(GranitetrestleError):
-    """The platform's log did not answer, or answered with a failure."""
+    """The platform's log did not answer, or answered with an error."""
 
     code = "log_unavailable"
     http_status = 503
 
 
 class LogGapError(GranitetrestleError):
-    """Records before ``first`` have expired; the reader must rebuild.
+    """Records before ``first`` have expired; the reader must rebuild its state.
 
-    :param first: the oldest offset that the log still keeps.
+    :param first: the oldest offset that the log still holds.
     """
 
     code = "log_gap"
 
     def __init__(self, stream: str, first: int) -> None:
-        super().__init__(f"stream {stream} starts at {first}", "rebuild from snapshot")
+        super().__init__(
+            f"records of stream {stream} before offset {first} have expired",
+            "rebuild from a snapshot",
+        )
         self.stream = stream
         self.first = first
 
 
 class MalformedEntry(GranitetrestleError):
-    """What the store holds of a box can't be read, or names no box to use.
+    """The store's entry of a box can't be decoded, or lacks data needed to use the box.
 
     :param key: its key in the store.
     """
@@ -176,27 +179,29 @@
     code = "malformed_entry"
 
     def __init__(self, key: str, reason: str) -> None:
-        super().__init__(f"{key}: {reason}", "find out who writes this entry")
+        super().__init__(
+            f"{key}: {reason}", "correct the program that writes this entry"
+        )
         self.key = key
 
 
 class MalformedDirective(GranitetrestleError):
-    """What operators ask under a key can't be read; it changes nothing.
+    """An operators' directive can't be decoded; it has no effect.
 
-    :param key: the order's key in the store.
-    :param hall: the data hall that it names, or empty.
+    :param key: the directive's key in the store.
+    :param hall: the data hall that it names, or an empty string.
     """
 
     code = "malformed_order"
 
     def __init__(self, key: str, reason: str, hall: str = "") -> None:
-        super().__init__(f"{key}: {reason}", "write the order again")
+        super().__init__(f"{key}: {reason}", "correct the directive and write it again")
         self.key = key
         self.hall = hall
 
 
 class UnreadableRecord(GranitetrestleError):
-    """A record that a decider wrote can't be decoded; the others are taken up.
+    """A record that a leader wrote can't be decoded; the other records are restored.
 
     :param key: the record's key in the store.
     """
@@ -204,7 +209,7 @@
     code = "unreadable_record"
 
     def __init__(self, key: str, reason: str) -> None:
-        super().__init__(f"{key}: {reason}", "nothing of it is started for a while")
+        super().__init__(f"{key}: {reason}", "its tasks are not started for a while")
         self.key = key
 
 
@@ -216,6 +221,6 @@
 
 
 class InvariantViolated(GranitetrestleError):
-    """A promise of the product does not hold in this state: a bug."""
+    """An invariant of the system does not hold in this state, which is a bug."""
 
     code = "invariant"
--- a/src/granitetrestle/nodelog.py
+++ b/src/granitetrestle/nodelog.py
@@ -1,6 +1,7 @@
-"""JSON lines on standard output: one for each decision and each changed belief. The
-volume is bounded for each kind of line, and a reader that does not keep up costs
-lines, never time."""
+"""Structured log of a process: JSON lines on standard output, one per event.
+
+Each kind of event has a rate limit. If the reader does not keep up, lines are dropped
+rather than the process blocked."""
 
 import contextlib
 import os
@@ -12,14 +13,14 @@
 
 __all__ = ["NodeLog"]
 
-# Lines of one kind that may be written at once, and how many more each second. A
-# kind over its budget is counted, and the count is written with its next line.
+# Token bucket for each kind of event. Lines beyond it are counted, and the count is
+# written with the next line of that kind.
 MAX_BURST_LINES: t.Final = 60
 MAX_LINES_PER_S: t.Final = 15.0
 
 
 class _TokenBucket:
-    """A token bucket, in lines."""
+    """A token bucket that limits the rate of lines; a token is a line."""
 
     __slots__ = ("dropped", "refilled_at", "tokens")
 
@@ -29,6 +30,7 @@
         self.dropped = 0
 
     def take(self, now: float) -> bool:
+        """Take a token; return whether there was one."""
         self.tokens = min(
             float(MAX_BURST_LINES),
             self.tokens + (now - self.refilled_at) * MAX_LINES_PER_S,
@@ -42,18 +44,19 @@
 
 
 class _NonBlockingWriter:
-    """Writes whole lines to a descriptor, or drops them."""
+    """Writes lines whole to a descriptor without blocking, or drops them."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._unwritten = b""
         self.dropped = 0
-        # A descriptor that can't be switched, as a plain file, does not block.
+        # A descriptor that can't be set to non-blocking, such as a plain file, does not
+        # block.
         with contextlib.suppress(OSError):
             os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
-        """Write ``line`` if there is room for it now."""
+        """Write ``line``, or drop it if the rest of an earlier line is still unwritten."""
         if self._unwritten:
             self._unwritten = self._try_write(self._unwritten)
         if self._unwritten:
@@ -67,7 +70,7 @@
         except BlockingIOError:
             return data
         except OSError:
-            # Nobody reads any more; there is nowhere left to say so.
+            # The reader has gone, so there is nowhere left to log this.
             self.dropped += 1
             return b""
 
@@ -75,8 +78,9 @@
 class NodeLog:
     """The log of one process.
 
-    :param count: told the kind of each line, also of those that are dropped.
-    :param bound: fields that stand in every line.
+    :param descriptor: file descriptor to write to.
+    :param count: called with the kind of each event, including dropped ones.
+    :param bound: fields of every line.
     """
 
     def __init__(
@@ -100,11 +104,11 @@
 
     @property
     def dropped(self) -> int:
-        """Lines that the reader did not take."""
+        """Number of lines dropped because the reader did not keep up."""
         return self._writer.dropped
 
     def event(self, event: str, /, **fields: t.Any) -> None:
-        """Write a line, if its kind has budget left."""
+        """Write a line, unless its kind of event exceeds the rate limit."""
         if self._count is not None:
             self._count(event)
         now = time.monotonic()
@@ -120,7 +124,7 @@
 
 
 class _LineLogger:
-    """What structlog takes for a logger: one method that writes a line."""
+    """The logger that structlog wraps: a method that writes a rendered line."""
 
     def __init__(self, writer: _NonBlockingWriter) -> None:
         self._writer = writer
--- a/src/granitetrestle/nodemetrics.py
+++ b/src/granitetrestle/nodemetrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of one process, for its metrics address."""
+"""Prometheus metrics of one process: counters, gauges and latency histograms."""
 
 import typing as t
 
@@ -6,7 +6,7 @@
 
 __all__ = ["NodeMetrics"]
 
-# Bounds in seconds, from a call in the same hall to a client's whole patience.
+# Upper bounds, from a call within a data hall to the longest time that clients wait.
 LATENCY_BUCKETS_S: t.Final = (
     0.005,
     0.01,
@@ -23,7 +23,7 @@
 
 
 class NodeMetrics:
-    """Counts by name; renders the usual text format."""
+    """Collects the metrics of one process and renders them in Prometheus' text format."""
 
     def __init__(self) -> None:
         self._registry = prometheus_client.CollectorRegistry()
@@ -55,20 +55,27 @@
         self.polls = 0
 
     def count(self, event: str, number: int = 1) -> None:
-        """Count decisions of a kind."""
+        """Count events of a kind."""
         self._events.labels(event).inc(number)
 
     def record_answer(self, kind: str, status: int, seconds: float) -> None:
-        """Count an answer to a client."""
+        """Record an answer to a client.
+
+        :param kind: method of the request.
+        :param status: HTTP status of the answer.
+        """
         self._answers.labels(kind, str(status)).inc()
         self.observe(f"answer_{kind}", seconds)
 
     def observe(self, name: str, seconds: float) -> None:
-        """Record a duration."""
+        """Record a duration in the latency histogram."""
         self._latency.labels(name).observe(seconds)
 
     def render(self, state: t.Mapping[str, float]) -> bytes:
-        """Return all figures as text, with what the process believes now."""
+        """Return all metrics as text.
+
+        :param state: current value of each gauge, by name.
+        """
         for name, value in state.items():
             self._gauges.labels(name).set(value)
         return prometheus_client.generate_latest(self._registry)
--- a/src/granitetrestle/outcomes.py
+++ b/src/granitetrestle/outcomes.py
@@ -1,6 +1,7 @@
-"""Tagged outcomes of a request. Every request ends in exactly one of them, and
-the difference between :class:`NotRun` and :class:`Unknown` is a promise: the
-first is given only with proof that no endpoint began the work."""
+"""Outcomes of a request; every request ends in exactly one of them.
+
+:class:`NotRun` is returned only with proof that no endpoint started the work. Without
+that proof the outcome is :class:`Unknown`."""
 
 import dataclasses
 import enum
@@ -33,14 +34,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """The endpoint answered whole; the body is held by the adapter."""
+    """The endpoint sent a complete answer; the adapter holds its body."""
 
     endpoint: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """A fact is on the log and was read back at ``offset``."""
+    """A fact has been written to the log and read back at ``offset``."""
 
     subject: str
     offset: int
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """Proved not to have run. ``retry_after_s`` tells when to come back."""
+    """Proved not to have run; the caller may retry after ``retry_after_s`` seconds."""
 
     reason: Reason
     retry_after_s: float
@@ -57,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """May have run; must not be repeated blindly."""
+    """May have run; repeating it without a check could run it twice."""
 
     reason: Reason
     detail: str = ""
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """The input was refused for what it says; nothing changed."""
+    """The input is invalid or not permitted; nothing was changed."""
 
     reason: Reason
     detail: str
