--- a/features/steps/page_steps.py
+++ b/features/steps/page_steps.py
@@ -22,8 +22,8 @@
 from granitetrestle.nodemetrics import NodeMetrics
 from granitetrestle.platform.boxes import decode_entry
 from granitetrestle.platform.front import decode_directive
+from granitetrestle.platform.store import BOX_TOPIC
 from granitetrestle.platform.store import CONFIG_TOPIC
-from granitetrestle.platform.store import LIFE_TOPIC
 from granitetrestle.platform.store import PlatformStore
 from granitetrestle.session import Session
 from granitetrestle.session import Sources
@@ -208,7 +208,7 @@
     store = PlatformStore("store", context.caller)
     boxes = SilentBoxes()
     sources = Sources(
-        store, boxes, CONFIG_TOPIC, LIFE_TOPIC, decode_directive, decode_entry
+        store, boxes, CONFIG_TOPIC, BOX_TOPIC, decode_directive, decode_entry
     )
 
     async def run():
--- a/src/granitetrestle/calls.py
+++ b/src/granitetrestle/calls.py
@@ -17,15 +17,15 @@
 
 __all__ = ["CallFailure", "Caller", "Party", "Reply", "Request", "is_address"]
 
-IDLE_S = 3.0
-FRESH_S = 0.5
-MAX_BODY = 1024 * 1024
-MAX_IDLE = 64
+MAX_IDLE_S = 3.0
+MAX_FRESH_IDLE_S = 0.5
+DEFAULT_MAX_ANSWER_BYTES = 1024 * 1024
+MAX_IDLE_PER_KEY = 64
 # More connections than a process usually has descriptors for.
-MOST_OPEN = 1_000_000
+DEFAULT_MAX_OPEN = 1_000_000
 DEFAULT_TIMEOUT_S = 2.0
 REQUEST_ID = "x-request-id"
-REFUSED = b"x-refused"
+REFUSED_HEADER = b"x-refused"
 
 
 def is_address(text: str) -> bool:
@@ -62,7 +62,7 @@
 
     proof: Proof
     timed_out: bool = False
-    stranger: Reply | None = None
+    other_reply: Reply | None = None
 
 
 class Request(t.NamedTuple):
@@ -85,11 +85,11 @@
         """What its connections are kept under, beside the address."""
 
     @abc.abstractmethod
-    def question(self) -> Request:
+    def identity_request(self) -> Request:
         """Return what asks who answers, and does nothing to whoever that is."""
 
     @abc.abstractmethod
-    def is_met(self, reply: Reply) -> bool | None:
+    def is_sender(self, reply: Reply) -> bool | None:
         """Say whether an answer to the question, or to a call whose answers tell who
         gives them, is the party's; ``None`` if this one doesn't tell."""
 
@@ -107,16 +107,16 @@
         calls thousands of boxes runs out of descriptors, and all it does fails.
     """
 
-    def __init__(self, most_open: int = MOST_OPEN) -> None:
+    def __init__(self, max_open: int = DEFAULT_MAX_OPEN) -> None:
         self._idle: dict[str, list[_Idle]] = {}
-        self._most_open = most_open
+        self._max_open = max_open
         self._opening = 0
-        self._made = 0
+        self._established = 0
 
     @property
     def open_connections(self) -> int:
         """Connections that are open or being opened."""
-        return self._opening + self._made
+        return self._opening + self._established
 
     async def call(
         self,
@@ -127,7 +127,7 @@
         timeout_s: float = DEFAULT_TIMEOUT_S,
         fresh: bool = False,
         method: str = "POST",
-        limit: int = MAX_BODY,
+        limit: int = DEFAULT_MAX_ANSWER_BYTES,
         new: bool = False,
     ) -> Reply | CallFailure:
         """Send one request to an address and read the whole answer.
@@ -139,11 +139,11 @@
         :param new: use a new connection: one that is open may have gone silent.
         :returns: the reply, or a failure with the proof that it gives.
         """
-        max_age_s = FRESH_S if fresh else IDLE_S
-        held = None if new else self._take(address, max_age_s)
+        max_age_s = MAX_FRESH_IDLE_S if fresh else MAX_IDLE_S
+        pooled = None if new else self._take_idle(address, max_age_s)
         request = Request(path, tuple(headers), body, method)
         return await self._call(
-            _Exchange(address, address, request, limit), held, timeout_s
+            _Exchange(address, address, request, limit), pooled, timeout_s
         )
 
     async def call_party(
@@ -152,9 +152,9 @@
         address: str,
         request: Request,
         timeout_s: float,
-        limit: int = MAX_BODY,
-        harmless: bool = False,
-        tells: bool = False,
+        limit: int = DEFAULT_MAX_ANSWER_BYTES,
+        no_side_effects: bool = False,
+        answer_identifies: bool = False,
     ) -> Reply | CallFailure:
         """Send one request to a party, and to nobody else who answers at its address.
 
@@ -163,14 +163,16 @@
         :returns: as :meth:`call`; a failure with what the stranger answered, if one did.
         """
         key = f"{address} {party.name}"
-        asks = not (harmless and tells)
-        exchange = _Exchange(key, address, request, limit, party, asks, tells)
-        return await self._call(exchange, self._take(key, IDLE_S), timeout_s)
+        verify_first = not (no_side_effects and answer_identifies)
+        exchange = _Exchange(
+            key, address, request, limit, party, verify_first, answer_identifies
+        )
+        return await self._call(exchange, self._take_idle(key, MAX_IDLE_S), timeout_s)
 
     async def _call(
-        self, exchange: "_Exchange", held: Connection | None, timeout_s: float
+        self, exchange: "_Exchange", pooled: Connection | None, timeout_s: float
     ) -> Reply | CallFailure:
-        connection = held
+        connection = pooled
         done = sent = False
         try:
             with anyio.move_on_after(timeout_s):
@@ -181,28 +183,28 @@
                     if isinstance(opened, CallFailure):
                         return opened
                     connection = opened
-                    failure = await exchange.introduce(connection)
+                    failure = await exchange.verify_party(connection)
                     if failure is not None:
                         return failure
                 sent = True
-                proved = connection is held or exchange.asks
-                outcome = await exchange.run(connection, proved)
+                verified = connection is pooled or exchange.verify_first
+                outcome = await exchange.run(connection, verified)
                 done = isinstance(outcome, Reply)
                 return outcome
             # Open connections may all have gone silent, without a reset, while new ones
             # work: none is tried after the first, which saves a time-out for each.
-            self._drop(exchange.key)
+            self._close_idle(exchange.key)
             return CallFailure(Proof(sent, "no answer in time"), timed_out=True)
         finally:
             if connection is not None:
                 if done and connection.idle:
-                    self._keep(exchange.key, connection)
+                    self._keep_idle(exchange.key, connection)
                 else:
                     connection.close()
 
     def _make_room(self) -> bool:
         """Close the connection that was idle for longest, if there are too many."""
-        if self.open_connections < self._most_open:
+        if self.open_connections < self._max_open:
             return True
         oldest = min(
             (key for key, idle in self._idle.items() if idle),
@@ -217,49 +219,49 @@
     async def _open(self, address: str, limit: int) -> Connection | CallFailure:
         self._opening += 1
         try:
-            return await _open(address, limit, self._changed)
+            return await _open(address, limit, self._count_open)
         finally:
             self._opening -= 1
 
-    def _changed(self, by: int) -> None:
-        self._made += by
+    def _count_open(self, by: int) -> None:
+        self._established += by
 
-    def _take(self, key: str, max_age_s: float) -> Connection | None:
+    def _take_idle(self, key: str, max_age_s: float) -> Connection | None:
         idle = self._idle.get(key, [])
         while idle and time.monotonic() - idle[-1].since < max_age_s:
-            held = idle.pop()
-            if held.connection.idle:
-                return held.connection
-            held.connection.close()
+            pooled = idle.pop()
+            if pooled.connection.idle:
+                return pooled.connection
+            pooled.connection.close()
         return None
 
-    def _keep(self, key: str, connection: Connection) -> None:
+    def _keep_idle(self, key: str, connection: Connection) -> None:
         idle = self._idle.setdefault(key, [])
-        if len(idle) < MAX_IDLE:
+        if len(idle) < MAX_IDLE_PER_KEY:
             idle.append(_Idle(connection, time.monotonic()))
 
-    def _drop(self, key: str) -> None:
-        for held in self._idle.pop(key, []):
-            held.connection.close()
+    def _close_idle(self, key: str) -> None:
+        for pooled in self._idle.pop(key, []):
+            pooled.connection.close()
 
     async def prune(self) -> None:
         """Close connections before the far side does."""
-        limit = time.monotonic() - IDLE_S
+        limit = time.monotonic() - MAX_IDLE_S
         for key, idle in list(self._idle.items()):
-            old = [held for held in idle if held.since < limit]
-            idle[:] = [held for held in idle if held.since >= limit]
+            old = [pooled for pooled in idle if pooled.since < limit]
+            idle[:] = [pooled for pooled in idle if pooled.since >= limit]
             if not idle:
                 del self._idle[key]
-            for held in old:
-                held.connection.close()
+            for pooled in old:
+                pooled.connection.close()
 
 
 async def _open(
-    address: str, limit: int, changed: t.Callable[[int], None]
+    address: str, limit: int, count_open: t.Callable[[int], None]
 ) -> Connection | CallFailure:
     host, _, port = address.rpartition(":")
     try:
-        return await connect(host, int(port), limit, changed)
+        return await connect(host, int(port), limit, count_open)
     except (OSError, ValueError, OverflowError) as error:
         # The latter two: what should be an address is none.
         return CallFailure(Proof(False, f"not connected: {error!r}"))
@@ -278,41 +280,45 @@
     request: Request
     limit: int
     party: Party | None = None
-    asks: bool = False
-    tells: bool = False
+    verify_first: bool = False
+    answer_identifies: bool = False
 
-    async def introduce(self, connection: Connection) -> CallFailure | None:
+    async def verify_party(self, connection: Connection) -> CallFailure | None:
         """Learn who is at the other end of a new connection, if that is asked for.
 
         :returns: a failure, unless the request may be sent.
         """
-        if self.party is None or not self.asks:
+        if self.party is None or not self.verify_first:
             return None
-        question = _bytes(self.address, self.party.question())
-        reply = await _exchange(connection, question)
+        identity_request = _encode_request(self.address, self.party.identity_request())
+        reply = await _send(connection, identity_request)
         if isinstance(reply, CallFailure):
             return CallFailure(
                 Proof(False, f"no answer who it is: {reply.proof.detail}")
             )
-        if self.party.is_met(reply):
+        if self.party.is_sender(reply):
             return None
-        return CallFailure(Proof(False, "somebody else answers"), stranger=reply)
+        return CallFailure(Proof(False, "somebody else answers"), other_reply=reply)
 
-    async def run(self, connection: Connection, proved: bool) -> Reply | CallFailure:
+    async def run(self, connection: Connection, verified: bool) -> Reply | CallFailure:
         """Send the request and return the whole answer.
 
         :param proved: whether it is known who is at the other end.
         """
-        reply = await _exchange(connection, _bytes(self.address, self.request))
-        if self.party is None or not self.tells or isinstance(reply, CallFailure):
+        reply = await _send(connection, _encode_request(self.address, self.request))
+        if (
+            self.party is None
+            or not self.answer_identifies
+            or isinstance(reply, CallFailure)
+        ):
             return reply
-        met = self.party.is_met(reply)
-        if met or (met is None and proved):
+        matches = self.party.is_sender(reply)
+        if matches or (matches is None and verified):
             return reply
-        return CallFailure(Proof(True, "somebody else answered"), stranger=reply)
+        return CallFailure(Proof(True, "somebody else answered"), other_reply=reply)
 
 
-def _bytes(address: str, request: Request) -> bytes:
+def _encode_request(address: str, request: Request) -> bytes:
     lines = [
         f"{request.method} {request.path} HTTP/1.1\r\nhost: {address}\r\n".encode(),
         b"content-length: %d\r\n" % len(request.body),
@@ -324,7 +330,7 @@
     return b"".join((*lines, b"\r\n", request.body))
 
 
-async def _exchange(connection: Connection, request: bytes) -> Reply | CallFailure:
+async def _send(connection: Connection, request: bytes) -> Reply | CallFailure:
     # A connection that closed while idle has not carried a byte of this request.
     if not connection.idle:
         return CallFailure(Proof(False, "the connection had closed"))
@@ -333,6 +339,6 @@
     except ConnectionLost as error:
         return CallFailure(Proof(True, str(error)))
     reply = Reply(*response)
-    if reply.header(REFUSED):
+    if reply.header(REFUSED_HEADER):
         return CallFailure(Proof(False, "the endpoint refused before it began"))
     return reply
--- a/src/granitetrestle/connection.py
+++ b/src/granitetrestle/connection.py
@@ -33,11 +33,11 @@
     :ivar idle: whether it can take a request: open, with nothing on its way.
     """
 
-    def __init__(self, limit: int, changed: t.Callable[[int], None]) -> None:
-        self._changed = changed
+    def __init__(self, limit: int, count_open: t.Callable[[int], None]) -> None:
+        self._count_open = count_open
         self._limit = limit
         self._transport: asyncio.Transport | None = None
-        self._waiting: asyncio.Future[Response] | None = None
+        self._pending: asyncio.Future[Response] | None = None
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
         self._size = 0
@@ -48,17 +48,17 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See :class:`asyncio.Protocol`."""
         self._transport = t.cast(asyncio.Transport, transport)
-        self._changed(1)
+        self._count_open(1)
         self.idle = True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """See :class:`asyncio.Protocol`."""
-        self._changed(-1)
+        self._count_open(-1)
         self._fail(f"connection lost: {exc!r}")
 
     def data_received(self, data: bytes) -> None:
         """See :class:`asyncio.Protocol`."""
-        if self._waiting is None:
+        if self._pending is None:
             self._fail("data that nobody asked for")
             return
         try:
@@ -80,19 +80,19 @@
 
     def on_message_complete(self) -> None:
         """Hand over the answer; called by the parser."""
-        waiting, self._waiting = self._waiting, None
-        if waiting is None or waiting.done():
+        pending, self._pending = self._pending, None
+        if pending is None or pending.done():
             return
         self.idle = bool(self._parser.should_keep_alive())
         status = self._parser.get_status_code()
         response = Response(status, tuple(self._headers), b"".join(self._body))
-        waiting.set_result(response)
+        pending.set_result(response)
 
-    def _fail(self, why: str) -> None:
+    def _fail(self, reason: str) -> None:
         self.idle = False
-        waiting, self._waiting = self._waiting, None
-        if waiting is not None and not waiting.done():
-            waiting.set_exception(ConnectionLost(why))
+        pending, self._pending = self._pending, None
+        if pending is not None and not pending.done():
+            pending.set_exception(ConnectionLost(reason))
         self.close()
 
     async def exchange(self, request: bytes) -> Response:
@@ -105,9 +105,9 @@
         self.idle = False
         self._headers, self._body, self._size = [], [], 0
         self._parser = httptools.HttpResponseParser(self)
-        self._waiting = asyncio.get_running_loop().create_future()
+        self._pending = asyncio.get_running_loop().create_future()
         self._transport.write(request)
-        return await self._waiting
+        return await self._pending
 
     def close(self) -> None:
         """Close at once."""
@@ -117,7 +117,7 @@
 
 
 async def connect(
-    host: str, port: int, limit: int, changed: t.Callable[[int], None]
+    host: str, port: int, limit: int, count_open: t.Callable[[int], None]
 ) -> Connection:
     """Open a connection.
 
@@ -128,8 +128,8 @@
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(CONNECT_TIMEOUT_S):
         transport, connection = await loop.create_connection(
-            lambda: Connection(limit, changed), host, port
+            lambda: Connection(limit, count_open), host, port
         )
-    channel = transport.get_extra_info("socket")
-    channel.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    sock = transport.get_extra_info("socket")
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     return connection
--- a/src/granitetrestle/platform/advice.py
+++ b/src/granitetrestle/platform/advice.py
@@ -14,7 +14,7 @@
 __all__ = ["PlatformAdvisor"]
 
 # It answers after a time for each box named, and one call of ours after the other.
-TIMEOUT_S: t.Final = 5.0
+ADVICE_TIMEOUT_S: t.Final = 5.0
 OK: t.Final = 200
 
 
@@ -43,7 +43,7 @@
         body = msgspec.json.encode({"step": step, "workers": list(by_id)})
         headers = ((b"content-type", b"application/json"),)
         reply = await self._caller.call(
-            self._address, "/api/advise", headers, body, TIMEOUT_S
+            self._address, "/api/advise", headers, body, ADVICE_TIMEOUT_S
         )
         if isinstance(reply, CallFailure):
             return AdviceUnavailable(reply.proof.detail)
--- a/src/granitetrestle/platform/boxes.py
+++ b/src/granitetrestle/platform/boxes.py
@@ -37,23 +37,23 @@
 OK: t.Final = 200
 BAD_REQUEST: t.Final = 400
 CONFLICT: t.Final = 409
-OTHER_ID: t.Final = 421
-UNWELL: t.Final = (429, 503)
-ID_HEADER: t.Final = b"expect-instance"
+MISDIRECTED: t.Final = 421
+UNHEALTHY: t.Final = (429, 503)
+BOX_ID_HEADER: t.Final = b"expect-instance"
 POLL_PATH: t.Final = "/api/hold"
 # Ends that one answer of a box lists.
-ENDS_AT_ONCE: t.Final = 500
+MAX_ENDS_PER_POLL: t.Final = 500
 # Of an answer. The page bounds neither the tasks on a box nor their checkpoints; a box
 # that lists more is never seen again, and all its tasks are taken for lost.
-ANSWER_BYTES: t.Final = 32 * 1024 * 1024
+MAX_ANSWER_BYTES: t.Final = 32 * 1024 * 1024
 
 
 # No box has as much of anything; what says so was not written by one.
-MOST_ROOM: t.Final = 2**40
+MAX_AMOUNT: t.Final = 2**40
 # Milliseconds since 1970 are far below.
-LATEST_BORN: t.Final = 2**53
-_Amount = t.Annotated[int, msgspec.Meta(ge=0, le=MOST_ROOM)]
-_Born = t.Annotated[int, msgspec.Meta(ge=0, le=LATEST_BORN)]
+MAX_BORN_MS: t.Final = 2**53
+_Amount = t.Annotated[int, msgspec.Meta(ge=0, le=MAX_AMOUNT)]
+_Born = t.Annotated[int, msgspec.Meta(ge=0, le=MAX_BORN_MS)]
 
 
 class _Capacity(msgspec.Struct):
@@ -71,13 +71,13 @@
     state: t.Literal["ready", "draining"] = "ready"
     capacity: _Capacity = msgspec.field(default_factory=_Capacity)
     labels: list[str] = []
-    remaining_ms: t.Annotated[float, msgspec.Meta(ge=0, le=MOST_ROOM)] | None = None
+    remaining_ms: t.Annotated[float, msgspec.Meta(ge=0, le=MAX_AMOUNT)] | None = None
     machine: str = ""
     cold_remaining_ms: float = 0.0
     born: _Born | None = None
 
 
-class _Birth(msgspec.Struct):
+class _Identity(msgspec.Struct):
     """What tells who answers a look."""
 
     born: _Born | None = None
@@ -95,9 +95,9 @@
 
 
 _entries = msgspec.json.Decoder(_Entry)
-_births = msgspec.json.Decoder(_Birth)
-_polls = msgspec.json.Decoder(_PollAnswer)
-_orders = msgspec.json.Decoder(_CommandAnswer)
+_identities = msgspec.json.Decoder(_Identity)
+_poll_answers = msgspec.json.Decoder(_PollAnswer)
+_command_answers = msgspec.json.Decoder(_CommandAnswer)
 _encode = msgspec.json.Encoder().encode
 
 
@@ -114,7 +114,7 @@
         raise MalformedEntry(record.key, str(error)) from error
     if not is_address(raw.address):
         raise MalformedEntry(record.key, f"no address: {raw.address!r}")
-    leaving = raw.remaining_ms
+    leaving_in_ms = raw.remaining_ms
     return BoxEntry(
         incarnation=incarnation_name(record.key, raw.born),
         address=raw.address,
@@ -126,7 +126,7 @@
         memory_mb=raw.capacity.mem_mb,
         gpu=raw.capacity.gpu,
         draining=raw.state != "ready",
-        leaving_in_s=None if leaving is None else leaving / 1000.0,
+        leaving_in_s=None if leaving_in_ms is None else leaving_in_ms / 1000.0,
         box=raw.machine,
         cold=raw.cold_remaining_ms > 0.0,
         box_id=record.key,
@@ -151,20 +151,20 @@
         """The headers of a call to it."""
         return (
             (b"content-type", b"application/json"),
-            (ID_HEADER, box_id_of(self._incarnation).encode()),
+            (BOX_ID_HEADER, box_id_of(self._incarnation).encode()),
         )
 
-    def question(self) -> Request:
-        """See :meth:`.Party.question`: a look that confirms nothing and renews nothing."""
+    def identity_request(self) -> Request:
+        """See :meth:`.Party.identity_request`: a look that confirms nothing and renews nothing."""
         body = _encode({"fencing_token": self._token, "last_seen": 0})
         return Request(POLL_PATH, self.headers, body)
 
-    def is_met(self, reply: Reply) -> bool | None:
-        """See :meth:`.Party.is_met`."""
+    def is_sender(self, reply: Reply) -> bool | None:
+        """See :meth:`.Party.is_sender`."""
         if reply.status != OK:
             return None
         try:
-            born = _births.decode(reply.body).born
+            born = _identities.decode(reply.body).born
         except (msgspec.DecodeError, UnicodeDecodeError):
             return None
         box_id = box_id_of(self._incarnation)
@@ -202,14 +202,14 @@
             address,
             request,
             timeout_s,
-            limit=ANSWER_BYTES,
-            harmless=not acknowledged and lease_ends_ms is None,
-            tells=True,
+            limit=MAX_ANSWER_BYTES,
+            no_side_effects=not acknowledged and lease_ends_ms is None,
+            answer_identifies=True,
         )
         if isinstance(reply, CallFailure):
-            return _failed(reply)
+            return _failure_outcome(reply)
         if reply.status != OK:
-            return _refused(reply)
+            return _refusal_outcome(reply)
         try:
             return _decode_poll(reply.body)
         except (msgspec.DecodeError, IndexError, ValueError, TypeError) as error:
@@ -225,63 +225,71 @@
         ticket: str,
     ) -> CommandOutcome:
         """See :meth:`.interfaces.BoxCalls.start`."""
-        body = _order(command, token)
+        body = _command_body(command, token)
         body["spec"] = spec
         body["until_ms"] = lease_ends_ms
         if checkpoint:
             body["checkpoint"] = checkpoint
         if ticket:
             body["ticket"] = ticket
-        return await self._order("/api/run-start", command, token, body)
+        return await self._send_command("/api/run-start", command, token, body)
 
     async def stop(self, command: TaskCommand, token: int) -> CommandOutcome:
         """See :meth:`.interfaces.BoxCalls.stop`."""
-        return await self._order(
-            "/api/run-stop", command, token, _order(command, token)
+        return await self._send_command(
+            "/api/run-stop", command, token, _command_body(command, token)
         )
 
     async def pace(
         self, command: TaskCommand, token: int, percent: int
     ) -> CommandOutcome:
         """See :meth:`.interfaces.BoxCalls.pace`."""
-        body = _order(command, token)
+        body = _command_body(command, token)
         body["percent"] = percent
-        return await self._order("/api/pace", command, token, body)
+        return await self._send_command("/api/pace", command, token, body)
 
-    async def _order(
+    async def _send_command(
         self, path: str, command: TaskCommand, token: int, body: dict[str, t.Any]
     ) -> CommandOutcome:
         party = _Incarnation(command.incarnation, token)
         request = Request(path, party.headers, _encode(body))
         reply = await self._caller.call_party(
-            party, command.address, request, COMMAND_TIMEOUT_S, limit=ANSWER_BYTES
+            party, command.address, request, COMMAND_TIMEOUT_S, limit=MAX_ANSWER_BYTES
         )
         if isinstance(reply, CallFailure):
-            return _failed(reply)
+            return _failure_outcome(reply)
         if reply.status != OK:
-            return _refused(reply)
+            return _refusal_outcome(reply)
         try:
-            return CommandAccepted(_orders.decode(reply.body or b"{}").clock_ms)
+            return CommandAccepted(
+                _command_answers.decode(reply.body or b"{}").clock_ms
+            )
         except msgspec.DecodeError as error:
             return BoxNoAnswer(f"malformed answer: {error}")
 
 
-def _failed(failure: CallFailure) -> CommandRejected | BoxReplaced | BoxNoAnswer:
+def _failure_outcome(
+    failure: CallFailure,
+) -> CommandRejected | BoxReplaced | BoxNoAnswer:
     """Return what a call came to that the life it was for has not answered."""
-    may_have_run, met = failure.proof.may_have_run, failure.stranger
-    if met is None:
+    may_have_run, other_reply = failure.proof.may_have_run, failure.other_reply
+    if other_reply is None:
         return BoxNoAnswer(failure.proof.detail, may_have_run, failure.timed_out)
-    outcome = _another(met) if met.status == OK else _refused(met)
+    outcome = (
+        _replacement_outcome(other_reply)
+        if other_reply.status == OK
+        else _refusal_outcome(other_reply)
+    )
     if isinstance(outcome, BoxNoAnswer):
         return outcome._replace(sent=may_have_run)
     return outcome
 
 
-def _another(met: Reply) -> BoxReplaced | BoxNoAnswer:
+def _replacement_outcome(other_reply: Reply) -> BoxReplaced | BoxNoAnswer:
     """Return who answered in the place of a life; nobody is taken for another on an
     answer that doesn't tell, since what that life runs would be started elsewhere."""
     try:
-        born = _births.decode(met.body).born
+        born = _identities.decode(other_reply.body).born
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return BoxNoAnswer(f"malformed answer: {error}")
     if born is None:
@@ -289,37 +297,37 @@
     return BoxReplaced()
 
 
-def _order(command: TaskCommand, token: int) -> dict[str, t.Any]:
+def _command_body(command: TaskCommand, token: int) -> dict[str, t.Any]:
     return {"task": command.task, "run": command.run, "fencing_token": token}
 
 
-def _refused(reply: Reply) -> CommandRejected | BoxReplaced | BoxNoAnswer:
+def _refusal_outcome(reply: Reply) -> CommandRejected | BoxReplaced | BoxNoAnswer:
     """Return how an order was refused. Only these statuses say that nothing was done; an
     order that failed in another way may have been carried out."""
-    if reply.status == OTHER_ID:
+    if reply.status == MISDIRECTED:
         return BoxReplaced()
-    if reply.status in (BAD_REQUEST, CONFLICT, *UNWELL):
-        return _rejected(reply)
+    if reply.status in (BAD_REQUEST, CONFLICT, *UNHEALTHY):
+        return _rejection(reply)
     return BoxNoAnswer(f"status {reply.status}")
 
 
-def _rejected(reply: Reply) -> CommandRejected:
+def _rejection(reply: Reply) -> CommandRejected:
     if reply.status == BAD_REQUEST:
         return CommandRejected("malformed")
     if reply.status != CONFLICT:
         return CommandRejected("unhealthy")
     try:
-        answer = _orders.decode(reply.body or b"{}")
+        answer = _command_answers.decode(reply.body or b"{}")
     except msgspec.DecodeError:
         return CommandRejected("malformed")
     return CommandRejected(answer.reason, answer.clock_ms)
 
 
 def _decode_poll(body: bytes) -> PollResult:
-    raw = _polls.decode(body)
+    raw = _poll_answers.decode(body)
     running = tuple(
         RunningTask(row[0], row[1], row[2], row[3], row[4] if len(row) > 4 else 0.0)
         for row in raw.running
     )
     ended = tuple(EndedRun(*row[:5]) for row in raw.finished)
-    return PollResult(raw.clock_ms, running, ended, len(ended) >= ENDS_AT_ONCE)
+    return PollResult(raw.clock_ms, running, ended, len(ended) >= MAX_ENDS_PER_POLL)
--- a/src/granitetrestle/platform/front.py
+++ b/src/granitetrestle/platform/front.py
@@ -28,7 +28,7 @@
 
 __all__ = [
     "Answer",
-    "Asked",
+    "DecodedCall",
     "QueueIndex",
     "UnknownQueue",
     "decode_call",
@@ -41,7 +41,7 @@
 # Followed by the name of the data hall.
 EVACUATE_PREFIX: t.Final = "evacuate/"
 JOB_ID: t.Final = re.compile(r"[0-9a-f]{16}")
-MAX_SPEC: t.Final = 4000
+MAX_SPEC_BYTES: t.Final = 4000
 MAX_STEPS: t.Final = 100
 MAX_TASKS: t.Final = 5000
 # Numbers above this are exact in no client's JSON, and above 64 bits can't be written
@@ -66,7 +66,7 @@
     """No queue has this host and path."""
 
 
-Asked: t.TypeAlias = JobCall | UnknownQueue
+DecodedCall: t.TypeAlias = JobCall | UnknownQueue
 
 
 class _Advice(msgspec.Struct):
@@ -222,7 +222,7 @@
 
 def decode_call(
     index: QueueIndex, method: str, host: str, path: str, body: bytes
-) -> Asked:
+) -> DecodedCall:
     """Return what a client asks.
 
     :raises InvalidInput: if the request is malformed; nothing was done.
@@ -254,8 +254,8 @@
         raw = _jobs.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise InvalidInput(f"not a job: {error}") from error
-    if len(raw.spec.encode()) > MAX_SPEC:
-        raise InvalidInput(f"spec has more than {MAX_SPEC} bytes")
+    if len(raw.spec.encode()) > MAX_SPEC_BYTES:
+        raise InvalidInput(f"spec has more than {MAX_SPEC_BYTES} bytes")
     if not 0 < len(raw.steps) <= MAX_STEPS:
         raise InvalidInput(f"a job has 1 to {MAX_STEPS} steps")
     times = (raw.repeat_count, raw.start_at_ms, raw.interval_ms)
--- a/src/granitetrestle/platform/process.py
+++ b/src/granitetrestle/platform/process.py
@@ -30,8 +30,8 @@
 from .server import make_app
 from .settings import PlatformSettings
 from .settings import load_boot_file
+from .store import BOX_TOPIC
 from .store import CONFIG_TOPIC
-from .store import LIFE_TOPIC
 from .store import PlatformStore
 
 __all__ = ["METRICS_PORT", "run"]
@@ -39,19 +39,19 @@
 # Named in deploy/system.toml as well.
 METRICS_PORT: t.Final = 9464
 # Part of the connections for calls to boxes and the store.
-CALLS_PART: t.Final = 0.7
+CALL_CONNECTIONS_SHARE: t.Final = 0.7
 # The processes of one deployment are alone on its network.
 PEER_TOKEN: t.Final = "granitetrestle"
-KEEP_ALIVE_S: t.Final = 20
+KEEP_ALIVE_TIMEOUT_S: t.Final = 20
 # Of its descriptors the platform reserves so many for files.
-FILES_RESERVED: t.Final = 200
-PRUNE_EVERY_S: t.Final = 1.0
+RESERVED_FILES: t.Final = 200
+PRUNE_INTERVAL_S: t.Final = 1.0
 # The platform asks every second and sends no new connections after two misses.
-NOTICED_S: t.Final = 2.2
+UNREADY_NOTICE_S: t.Final = 2.2
 # For the answers to requests that are given up when the grace is over.
-LAST_ANSWERS_S: t.Final = 0.1
+LAST_ANSWERS_WAIT_S: t.Final = 0.1
 # Left of the grace after all waits, for closing down.
-GRACE_RESERVE_S: t.Final = 0.8
+CLOSING_RESERVE_S: t.Final = 0.8
 
 
 def _sources(settings: PlatformSettings, caller: Caller) -> Sources:
@@ -62,7 +62,7 @@
         store=PlatformStore(str(settings.store), caller),
         boxes=PlatformBoxes(caller),
         config_topic=CONFIG_TOPIC,
-        box_topic=LIFE_TOPIC,
+        box_topic=BOX_TOPIC,
         decode_operator=front.decode_directive,
         decode_box=decode_entry,
         advisor=advisor,
@@ -86,9 +86,9 @@
         address=address,
         cores=settings.cores,
         scheduler=SchedulerParameters(
-            lease_s=settings.hold_max_s,
-            keep_s=settings.status_s * 1.25,
-            connections=settings.max_files - FILES_RESERVED,
+            lease_s=settings.max_lease_s,
+            keep_s=settings.job_status_s * 1.25,
+            connections=settings.max_files - RESERVED_FILES,
             call_bytes=settings.call_bytes,
             off=off,
         ),
@@ -115,7 +115,7 @@
     metrics: NodeMetrics,
 ) -> None:
     # The others are for peers, whose sockets take up to three each, and for clients.
-    caller = Caller(int((settings.max_files - FILES_RESERVED) * CALLS_PART))
+    caller = Caller(int((settings.max_files - RESERVED_FILES) * CALL_CONNECTIONS_SHARE))
     node = _node(settings, off, caller, log, metrics)
     stopping = False
     ready = settings.ready.port if settings.ready is not None else 0
@@ -127,7 +127,7 @@
         lifespan="off",
         log_config=None,
         access_log=False,
-        timeout_keep_alive=KEEP_ALIVE_S,
+        timeout_keep_alive=KEEP_ALIVE_TIMEOUT_S,
         server_header=False,
         date_header=False,
     )
@@ -145,35 +145,40 @@
         tasks.start_soon(node.run)
         tasks.start_soon(server.serve, listeners)
         tasks.start_soon(_prune, caller)
-        await _signals(log)
-        began = time.monotonic()
+        await _wait_for_stop_signal(log)
+        stopping_since = time.monotonic()
         stopping = True
         log.event("stopping", grace_s=settings.grace_s)
-        left = settings.grace_s - GRACE_RESERVE_S
-        await node.stop(left)
+        max_wait_s = settings.grace_s - CLOSING_RESERVE_S
+        await node.stop(max_wait_s)
         # Open connections may still bring requests until the platform has noticed.
-        while time.monotonic() - began < min(NOTICED_S, left) or not node.idle:
-            if time.monotonic() - began > left:
+        while (
+            time.monotonic() - stopping_since < min(UNREADY_NOTICE_S, max_wait_s)
+            or not node.idle
+        ):
+            if time.monotonic() - stopping_since > max_wait_s:
                 break
             await anyio.sleep(0.05)
         idle = node.idle
         node.give_up()
-        await anyio.sleep(LAST_ANSWERS_S)
+        await anyio.sleep(LAST_ANSWERS_WAIT_S)
         server.should_exit = True
-        log.event("stopped", idle=idle, took_s=round(time.monotonic() - began, 2))
+        log.event(
+            "stopped", idle=idle, took_s=round(time.monotonic() - stopping_since, 2)
+        )
         tasks.cancel_scope.cancel()
 
 
 async def _prune(caller: Caller) -> None:
     while True:
-        await anyio.sleep(PRUNE_EVERY_S)
+        await anyio.sleep(PRUNE_INTERVAL_S)
         await caller.prune()
 
 
-async def _signals(log: NodeLog) -> None:
+async def _wait_for_stop_signal(log: NodeLog) -> None:
     """Return when the process is asked to stop."""
-    watched = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    with anyio.open_signal_receiver(*watched) as signals:
+    handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    with anyio.open_signal_receiver(*handled) as signals:
         async for number in signals:
             if number != signal.SIGHUP:
                 return
--- a/src/granitetrestle/platform/server.py
+++ b/src/granitetrestle/platform/server.py
@@ -14,7 +14,7 @@
 from ..node import Node
 from ..session import Session
 from . import front
-from .store import LENGTH_BYTES
+from .store import LENGTH_PREFIX_BYTES
 from .store import encode_record
 
 __all__ = ["FrontResponder", "Ports", "make_app"]
@@ -24,10 +24,10 @@
 DEFAULT_DEADLINE_S: t.Final = 3.0
 # Taken off a client's time limit, so that its answer still reaches it.
 ANSWER_SLACK_S: t.Final = 0.05
-MAX_BODY: t.Final = 1024 * 1024
+MAX_BODY_BYTES: t.Final = 1024 * 1024
 # What the store takes where the settings don't say it.
-RECORD_BYTES: t.Final = 262_144
-COME_BACK_S: t.Final = 1
+DEFAULT_MAX_RECORD_BYTES: t.Final = 262_144
+RETRY_AFTER_S: t.Final = 1
 
 Scope: t.TypeAlias = t.MutableMapping[str, t.Any]
 Receive: t.TypeAlias = t.Callable[[], t.Awaitable[t.MutableMapping[str, t.Any]]]
@@ -40,7 +40,7 @@
     :param record_bytes: longest record that the store takes.
     """
 
-    def __init__(self, record_bytes: int = RECORD_BYTES) -> None:
+    def __init__(self, record_bytes: int = DEFAULT_MAX_RECORD_BYTES) -> None:
         self._record_bytes = record_bytes
         self._indexed: tuple[Config, front.QueueIndex] | None = None
 
@@ -58,50 +58,50 @@
             raise Deposed
         config = session.config
         if config is None:
-            return _come_back("no configuration yet")
+            return _retry_later("no configuration yet")
         method, host, path, body = call
         try:
-            asked = front.decode_call(self._index(config), method, host, path, body)
-            self._check_size(asked)
+            decoded = front.decode_call(self._index(config), method, host, path, body)
+            self._check_size(decoded)
         except InvalidInput as error:
             return ClientAnswer(400, error.message.encode(), why=error.message)
-        refused = ""
-        if isinstance(asked, SubmitJob) and session.store_unavailable:
-            refused = "store away"
+        refusal = ""
+        if isinstance(decoded, SubmitJob) and session.store_unavailable:
+            refusal = "store away"
         elif not session.serving:
-            refused = "the configuration was not confirmed of late"
-        if refused and not _taken(session, asked):
-            return _come_back(refused, session.retry_after_s)
-        if not await session.confirm() and not _taken(session, asked):
-            return _come_back("store away", session.retry_after_s)
-        if isinstance(asked, front.UnknownQueue):
+            refusal = "the configuration was not confirmed of late"
+        if refusal and not _is_submitted(session, decoded):
+            return _retry_later(refusal, session.retry_after_s)
+        if not await session.confirm() and not _is_submitted(session, decoded):
+            return _retry_later("store away", session.retry_after_s)
+        if isinstance(decoded, front.UnknownQueue):
             return ClientAnswer(404)
-        outcome = await session.call(request, asked)
+        outcome = await session.call(request, decoded)
         answer = front.encode_outcome(outcome)
         return ClientAnswer(answer.status, answer.body)
 
-    def _check_size(self, asked: front.Asked) -> None:
+    def _check_size(self, decoded: front.DecodedCall) -> None:
         """Refuse what the store would not take: its append would be repeated for ever,
         by this decider and by each next one that the job is handed to.
 
         :raises InvalidInput: if a job is too long for a record.
         """
-        if not isinstance(asked, SubmitJob):
+        if not isinstance(decoded, SubmitJob):
             return
-        record = encode_record(submission_record(asked.submission))
-        if len(record) - LENGTH_BYTES > self._record_bytes:
+        record = encode_record(submission_record(decoded.submission))
+        if len(record) - LENGTH_PREFIX_BYTES > self._record_bytes:
             raise InvalidInput("the job is too long for the store")
 
 
-def _taken(session: Session, asked: front.Asked) -> bool:
+def _is_submitted(session: Session, decoded: front.DecodedCall) -> bool:
     """Say whether a job was taken, perhaps not yet durably: to refuse it now would
     be untrue."""
-    if not isinstance(asked, SubmitJob):
+    if not isinstance(decoded, SubmitJob):
         return False
-    return asked.submission.job in session.scheduler.state.workflows
+    return decoded.submission.job in session.scheduler.state.workflows
 
 
-def _come_back(why: str, after_s: int = COME_BACK_S) -> ClientAnswer:
+def _retry_later(why: str, after_s: int = RETRY_AFTER_S) -> ClientAnswer:
     return ClientAnswer(503, b"", after_s, why)
 
 
@@ -136,16 +136,16 @@
 
 
 async def _serve(node: Node, scope: Scope, receive: Receive) -> ClientAnswer:
-    began = time.monotonic()
+    started_at = time.monotonic()
     body = await _body(receive)
     if body is None:
         return ClientAnswer(413)
     headers = dict(scope["headers"])
     host = headers.get(b"host", b"").decode("latin-1")
     call = ClientCall(scope["method"], host, scope["path"], body)
-    left_s = _deadline_s(headers) - ANSWER_SLACK_S - (time.monotonic() - began)
+    left_s = _deadline_s(headers) - ANSWER_SLACK_S - (time.monotonic() - started_at)
     answer = await node.serve(call, max(left_s, ANSWER_SLACK_S))
-    took_s = time.monotonic() - began
+    took_s = time.monotonic() - started_at
     node.metrics.record_answer(call.method, answer.status, took_s)
     if answer.status >= 400 and answer.status not in (404, 410):
         node.log.event(
@@ -175,7 +175,7 @@
             return b"".join(chunks)
         chunk = message.get("body", b"")
         size += len(chunk)
-        if size > MAX_BODY:
+        if size > MAX_BODY_BYTES:
             return None
         chunks.append(chunk)
         if not message.get("more_body"):
--- a/src/granitetrestle/platform/settings.py
+++ b/src/granitetrestle/platform/settings.py
@@ -36,8 +36,8 @@
     writes_per_s: float
     record_bytes: int
     call_bytes: int
-    hold_max_s: float
-    status_s: float
+    max_lease_s: float
+    job_status_s: float
     grace_s: float
     drain_s: float
     config_apply_s: float
@@ -82,8 +82,8 @@
             writes_per_s=self._number("platform.writes_per_s", 800.0),
             record_bytes=int(self._number("platform.record_bytes", 262144)),
             call_bytes=int(self._number("platform.call_bytes", 2097152)),
-            hold_max_s=self._number("bounds.hold_max_ms", 10000) / 1000.0,
-            status_s=self._number("bounds.status_s", 120.0),
+            max_lease_s=self._number("bounds.hold_max_ms", 10000) / 1000.0,
+            job_status_s=self._number("bounds.status_s", 120.0),
             grace_s=self._number("bounds.grace_s", 6.0),
             drain_s=self._number("bounds.drain_ms", 2000) / 1000.0,
             config_apply_s=self._number("bounds.config_apply_ms", 2000) / 1000.0,
--- a/src/granitetrestle/platform/store.py
+++ b/src/granitetrestle/platform/store.py
@@ -24,8 +24,8 @@
 
 __all__ = [
     "CONFIG_TOPIC",
-    "LENGTH_BYTES",
-    "LIFE_TOPIC",
+    "LENGTH_PREFIX_BYTES",
+    "BOX_TOPIC",
     "PlatformStore",
     "decode_records",
     "encode_record",
@@ -33,13 +33,13 @@
 
 # Topics that the platform itself writes: the operator's records and the boxes'.
 CONFIG_TOPIC: t.Final = "keyed.op"
-LIFE_TOPIC: t.Final = "keyed.servers"
+BOX_TOPIC: t.Final = "keyed.servers"
 PRODUCER: t.Final = "granitetrestle"
 # Of a record's length, which stands before it and does not count.
-LENGTH_BYTES: t.Final = 4
+LENGTH_PREFIX_BYTES: t.Final = 4
 # An answer takes some 5 ms; a store that is slow takes up to half a second.
 READ_TIMEOUT_S: t.Final = 1.0
-MAX_ANSWER: t.Final = 4 * 1024 * 1024
+MAX_ANSWER_BYTES: t.Final = 4 * 1024 * 1024
 OK: t.Final = 200
 CONFLICT: t.Final = 409
 GONE: t.Final = 410
@@ -67,7 +67,7 @@
 
 
 _pages = msgspec.json.Decoder(_Page)
-_answers = msgspec.json.Decoder(_AppendAnswer)
+_append_answers = msgspec.json.Decoder(_AppendAnswer)
 
 
 class PlatformStore(Store):
@@ -77,7 +77,7 @@
         self._address = address
         self._caller = caller
         # Appends on their way, by topic and writer.
-        self._appending: collections.Counter[tuple[str, Writer]] = collections.Counter()
+        self._in_flight: collections.Counter[tuple[str, Writer]] = collections.Counter()
         self.calls = 0
 
     async def append(
@@ -98,7 +98,7 @@
         if isinstance(reply, StoreUnavailable):
             return reply
         try:
-            answer = _answers.decode(reply.body or b"{}")
+            answer = _append_answers.decode(reply.body or b"{}")
         except msgspec.DecodeError:
             return StoreUnavailable("malformed answer")
         if reply.status == OK:
@@ -123,14 +123,14 @@
         if writer is None:
             return await self._call("POST", path, query, timeout_s, body)
         key = (topic, writer)
-        repeats = self._appending[key] > 0
-        self._appending[key] += 1
+        repeats = self._in_flight[key] > 0
+        self._in_flight[key] += 1
         try:
             return await self._call("POST", path, query, timeout_s, body, repeats)
         finally:
-            self._appending[key] -= 1
-            if not self._appending[key]:
-                del self._appending[key]
+            self._in_flight[key] -= 1
+            if not self._in_flight[key]:
+                del self._in_flight[key]
 
     async def newest_page(
         self, topic: str, after: str | None, timeout_s: float
@@ -192,7 +192,7 @@
             body,
             timeout_s,
             method=method,
-            limit=MAX_ANSWER,
+            limit=MAX_ANSWER_BYTES,
             new=new,
         )
         if isinstance(reply, CallFailure):
@@ -220,10 +220,10 @@
         position += 4
         if position + length > len(data):
             raise struct.error("cut short")
-        key_ends = position + 1 + data[position]
+        key_end = position + 1 + data[position]
         # Keys of other writers may be no text; their records must not stop the reading.
-        key = data[position + 1 : key_ends].decode(errors="replace")
-        value = data[key_ends : position + length]
+        key = data[position + 1 : key_end].decode(errors="replace")
+        value = data[key_end : position + length]
         records.append(Record(key, value or None))
         position += length
     return records
--- a/src/granitetrestle/steadyclock.py
+++ b/src/granitetrestle/steadyclock.py
@@ -9,7 +9,7 @@
 __all__ = ["now", "suspended_s"]
 
 
-def _counting_clock() -> int | None:
+def _suspend_aware_clock() -> int | None:
     """Return the system's clock that counts suspended time, if it has one."""
     clock = getattr(time, "CLOCK_BOOTTIME", None)
     try:
@@ -19,7 +19,7 @@
     return t.cast(int, clock)
 
 
-_CLOCK: t.Final = _counting_clock()
+_CLOCK: t.Final = _suspend_aware_clock()
 
 
 def now() -> float:
--- a/src/granitetrestle_bench/takeover.py
+++ b/src/granitetrestle_bench/takeover.py
@@ -28,8 +28,8 @@
 from granitetrestle.platform.boxes import PlatformBoxes
 from granitetrestle.platform.boxes import decode_entry
 from granitetrestle.platform.front import decode_directive
+from granitetrestle.platform.store import BOX_TOPIC
 from granitetrestle.platform.store import CONFIG_TOPIC
-from granitetrestle.platform.store import LIFE_TOPIC
 from granitetrestle.platform.store import PlatformStore
 from granitetrestle.session import Session
 from granitetrestle.session import Sources
@@ -122,7 +122,7 @@
             self._records.mark_retired(workflow)
         records = [r for r in self._records.pop_records() if r.value is not None]
         self._model.append(JOBS_TOPIC, DigestTracker().with_digest(records), None)
-        self._model.append(LIFE_TOPIC, list(map(self._box, range(self.boxes))), None)
+        self._model.append(BOX_TOPIC, list(map(self._box, range(self.boxes))), None)
 
     def _fill_running(self, kind: Kind, tasks: int) -> None:
         while tasks > 0:
@@ -281,7 +281,7 @@
         await anyio.sleep(0.1)
     boxes = PlatformBoxes(caller)
     sources = Sources(
-        store, boxes, CONFIG_TOPIC, LIFE_TOPIC, decode_directive, decode_entry
+        store, boxes, CONFIG_TOPIC, BOX_TOPIC, decode_directive, decode_entry
     )
     taken = await take_over(store, 1, "measured")
     assert isinstance(taken, EpochClaim), taken
--- a/tools/build_deploy.py
+++ b/tools/build_deploy.py
@@ -11,7 +11,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 DEPS = ROOT / "target" / "deps"
-STAMP = ROOT / "target" / "deps.stamp"
+LIBRARIES_STAMP = ROOT / "target" / "deps.stamp"
 SOURCE_STAMP = ROOT / "target" / "source.stamp"
 # What a process on the platform imports; the rest of the product's libraries would
 # only cost memory and time at each start.
@@ -30,23 +30,32 @@
 def main() -> None:
     """Build into target/deps."""
     constraints = ROOT / "constraints.txt"
-    wanted = hashlib.sha256(constraints.read_bytes() + repr(LIBRARIES).encode())
-    if not STAMP.exists() or STAMP.read_text() != wanted.hexdigest():
+    libraries_digest = hashlib.sha256(
+        constraints.read_bytes() + repr(LIBRARIES).encode()
+    )
+    if (
+        not LIBRARIES_STAMP.exists()
+        or LIBRARIES_STAMP.read_text() != libraries_digest.hexdigest()
+    ):
         shutil.rmtree(DEPS, ignore_errors=True)
         install = [sys.executable, "-m", "pip", "install", "-q"]
         install += ["--disable-pip-version-check", "--target", str(DEPS)]
         subprocess.run([*install, "-c", str(constraints), *LIBRARIES], check=True)
-        STAMP.write_text(wanted.hexdigest())
+        LIBRARIES_STAMP.write_text(libraries_digest.hexdigest())
     source = ROOT / "src" / "granitetrestle"
-    seen = _digest(source)
+    source_digest = _digest(source)
     package = DEPS / "granitetrestle"
     # A second build beside running processes must not take their files away.
-    if package.exists() and SOURCE_STAMP.exists() and SOURCE_STAMP.read_text() == seen:
+    if (
+        package.exists()
+        and SOURCE_STAMP.exists()
+        and SOURCE_STAMP.read_text() == source_digest
+    ):
         return
     shutil.rmtree(package, ignore_errors=True)
     shutil.copytree(source, package)
     compileall.compile_dir(str(DEPS), quiet=2, workers=1)
-    SOURCE_STAMP.write_text(seen)
+    SOURCE_STAMP.write_text(source_digest)
 
 
 def _digest(folder: pathlib.Path) -> str:
--- a/tools/life_mutants.py
+++ b/tools/life_mutants.py
@@ -29,7 +29,7 @@
         (
             (
                 "calls.py",
-                "if self.party is None or not self.asks:",
+                "if self.party is None or not self.verify_first:",
                 "if True:",
             ),
         ),
@@ -40,7 +40,7 @@
         (
             (
                 "calls.py",
-                "if met or (met is None and proved):",
+                "if matches or (matches is None and verified):",
                 "if True:",
             ),
         ),
--- a/tools/older_mutants.py
+++ b/tools/older_mutants.py
@@ -48,7 +48,7 @@
         (
             (
                 "calls.py",
-                "if reply.header(REFUSED):",
+                "if reply.header(REFUSED_HEADER):",
                 "if False:",
             ),
         ),
