--- a/src/granitetrestle/platform/__init__.py
+++ b/src/granitetrestle/platform/__init__.py
@@ -1,13 +1,13 @@
-"""Everything that the users' platform speaks: names, formats and calls. Nothing in
-here decides. Their words are decoded once, into this project's types:
+"""Adapters to the users' platform: names, formats and calls. No scheduling decision is
+made here. The platform's terms are decoded in this package alone, into this project's:
 
 =================  ==========================================================
 the platform says  this project says
 =================  ==========================================================
 machine            box (or node, for a box that runs this program)
 zone               data hall
-runner, server     one life of a box
-hold, look         look
+runner, server     one incarnation of a box
+hold, look         poll
 beat               heartbeat
 =================  ==========================================================
 """
--- a/src/granitetrestle/platform/__main__.py
+++ b/src/granitetrestle/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m granitetrestle.platform``: the daemon as a native of the platform."""
+"""``python -m granitetrestle.platform``: the daemon as a process of the platform."""
 
 import os
 import sys
@@ -11,7 +11,11 @@
 
 
 def main() -> None:
-    """Run the process that the platform's settings file describes."""
+    """Run the daemon with the platform's settings file.
+
+    Exits with the error's exit code if the settings or the list of mechanisms to
+    switch off are malformed.
+    """
     try:
         off = parse_switched_off(os.environ.get(OFF_VARIABLE, ""))
         run(os.environ.get(BOOT_VARIABLE, ""), off)
--- a/src/granitetrestle/platform/advice.py
+++ b/src/granitetrestle/platform/advice.py
@@ -1,4 +1,4 @@
-"""Asks the platform's advice service which boxes may run a step."""
+"""Client of the platform's advice service, which says what boxes may run a step."""
 
 import typing as t
 
@@ -13,13 +13,13 @@
 
 __all__ = ["PlatformAdvisor"]
 
-# It answers after a time for each box named, and one call of ours after the other.
+# The service takes time for each box named, and handles calls one after the other.
 ADVICE_TIMEOUT_S: t.Final = 5.0
 OK: t.Final = 200
 
 
 class _Answer(msgspec.Struct):
-    """``good`` has rows of a box's id and its ticket."""
+    """``good`` has a row for each box that may run the step: its id and its ticket."""
 
     good: list[list[str]] = []
     valid_ms: float = 0.0
@@ -29,7 +29,7 @@
 
 
 class PlatformAdvisor(Advisor):
-    """The advice service over HTTP."""
+    """Asks the advice service over HTTP."""
 
     def __init__(self, address: str, caller: Caller) -> None:
         self._address = address
--- a/src/granitetrestle/platform/boxes.py
+++ b/src/granitetrestle/platform/boxes.py
@@ -1,4 +1,4 @@
-"""Calls to boxes, and how a box describes itself in the store."""
+"""Calls to boxes over HTTP, and decoding of the entries that boxes write to the store."""
 
 import typing as t
 
@@ -30,9 +30,10 @@
 
 __all__ = ["PlatformBoxes", "decode_entry"]
 
-# Boxes answer within some 3 ms; a slow hall link or a busy box of ours takes more.
+# A box answers within some 3 ms; over a slow link between halls, or when the box that
+# runs this process is busy, it takes longer.
 COMMAND_TIMEOUT_S: t.Final = 0.4
-# Beyond the time that a look may wait.
+# Added to the time that a long poll may wait.
 POLL_TIMEOUT_S: t.Final = 0.7
 OK: t.Final = 200
 BAD_REQUEST: t.Final = 400
@@ -41,16 +42,16 @@
 UNHEALTHY: t.Final = (429, 503)
 BOX_ID_HEADER: t.Final = b"expect-instance"
 POLL_PATH: t.Final = "/api/hold"
-# Ends that one answer of a box lists.
+# A box lists no more ends in one answer; the rest follow once these are acknowledged.
 MAX_ENDS_PER_POLL: t.Final = 500
-# Of an answer. The page bounds neither the tasks on a box nor their checkpoints; a box
-# that lists more is never seen again, and all its tasks are taken for lost.
+# The platform's specification limits neither the tasks on a box nor their checkpoints.
+# A box whose answer is longer can't be polled, and all its tasks are taken for lost.
 MAX_ANSWER_BYTES: t.Final = 32 * 1024 * 1024
 
 
-# No box has as much of anything; what says so was not written by one.
+# No box has this much of any resource: an entry with more was not written by a box.
 MAX_AMOUNT: t.Final = 2**40
-# Milliseconds since 1970 are far below.
+# Milliseconds since 1970 are far below this.
 MAX_BORN_MS: t.Final = 2**53
 _Amount = t.Annotated[int, msgspec.Meta(ge=0, le=MAX_AMOUNT)]
 _Born = t.Annotated[int, msgspec.Meta(ge=0, le=MAX_BORN_MS)]
@@ -63,7 +64,7 @@
 
 
 class _Entry(msgspec.Struct):
-    """``cpu`` is in thousandths of a core; the second label is the rack."""
+    """A box's entry. ``cpu`` is in thousandths of a core; the second label is the rack."""
 
     service: str
     address: str
@@ -78,7 +79,7 @@
 
 
 class _Identity(msgspec.Struct):
-    """What tells who answers a look."""
+    """The part of a poll's answer that identifies the box's incarnation."""
 
     born: _Born | None = None
 
@@ -102,7 +103,7 @@
 
 
 def decode_entry(record: Record) -> BoxEntry | None:
-    """Return what a box says of itself, or ``None`` once it is gone.
+    """Return the entry that a box wrote, or ``None`` if it was removed.
 
     :raises MalformedEntry: if the record is malformed.
     """
@@ -113,7 +114,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise MalformedEntry(record.key, str(error)) from error
     if not is_address(raw.address):
-        raise MalformedEntry(record.key, f"no address: {raw.address!r}")
+        raise MalformedEntry(record.key, f"address {raw.address!r} is not IP:PORT")
     leaving_in_ms = raw.remaining_ms
     return BoxEntry(
         incarnation=incarnation_name(record.key, raw.born),
@@ -134,8 +135,12 @@
 
 
 class _Incarnation(Party):
-    """One life of a box, as a caller of an epoch is to reach it. Ids don't tell lives apart,
-    so a call is made over a connection to a box that has told when it was born."""
+    """One incarnation of a box, called with a leader's fencing token. A box that restarts
+    keeps its id, so a call needs a connection over which the box has reported when it was
+    born.
+
+    :param token: epoch of the leader that calls.
+    """
 
     def __init__(self, incarnation: str, token: int) -> None:
         self._incarnation = incarnation
@@ -148,14 +153,15 @@
 
     @property
     def headers(self) -> tuple[tuple[bytes, bytes], ...]:
-        """The headers of a call to it."""
+        """Headers of a call to this box."""
         return (
             (b"content-type", b"application/json"),
             (BOX_ID_HEADER, box_id_of(self._incarnation).encode()),
         )
 
     def identity_request(self) -> Request:
-        """See :meth:`.Party.identity_request`: a look that confirms nothing and renews nothing."""
+        """See :meth:`.Party.identity_request`: a poll that acknowledges and renews
+        nothing."""
         body = _encode({"fencing_token": self._token, "last_seen": 0})
         return Request(POLL_PATH, self.headers, body)
 
@@ -174,7 +180,10 @@
 
 
 class PlatformBoxes(BoxCalls):
-    """Boxes over HTTP."""
+    """Calls boxes over HTTP.
+
+    Each call reaches only the incarnation that it is for.
+    """
 
     def __init__(self, caller: Caller) -> None:
         self._caller = caller
@@ -271,7 +280,7 @@
 def _failure_outcome(
     failure: CallFailure,
 ) -> CommandRejected | BoxReplaced | BoxNoAnswer:
-    """Return what a call came to that the life it was for has not answered."""
+    """Return the outcome of a call that the intended incarnation has not answered."""
     may_have_run, other_reply = failure.proof.may_have_run, failure.other_reply
     if other_reply is None:
         return BoxNoAnswer(failure.proof.detail, may_have_run, failure.timed_out)
@@ -286,14 +295,17 @@
 
 
 def _replacement_outcome(other_reply: Reply) -> BoxReplaced | BoxNoAnswer:
-    """Return who answered in the place of a life; nobody is taken for another on an
-    answer that doesn't tell, since what that life runs would be started elsewhere."""
+    """Return the outcome of a call that another incarnation may have answered.
+
+    An answer without a time of birth doesn't prove that: to take the box for replaced
+    would start elsewhere the tasks that its incarnation still runs.
+    """
     try:
         born = _identities.decode(other_reply.body).born
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return BoxNoAnswer(f"malformed answer: {error}")
     if born is None:
-        return BoxNoAnswer("the answer doesn't tell when the box was born")
+        return BoxNoAnswer("the answer lacks the time when the box was born")
     return BoxReplaced()
 
 
@@ -302,8 +314,11 @@
 
 
 def _refusal_outcome(reply: Reply) -> CommandRejected | BoxReplaced | BoxNoAnswer:
-    """Return how an order was refused. Only these statuses say that nothing was done; an
-    order that failed in another way may have been carried out."""
+    """Return the outcome of a call that was answered with an error status.
+
+    Only these statuses prove that the box did nothing; a command that failed in another
+    way may have been carried out.
+    """
     if reply.status == MISDIRECTED:
         return BoxReplaced()
     if reply.status in (BAD_REQUEST, CONFLICT, *UNHEALTHY):
--- a/src/granitetrestle/platform/front.py
+++ b/src/granitetrestle/platform/front.py
@@ -1,5 +1,5 @@
-"""What clients and operators send: jobs and questions about them over HTTP, and the
-configuration as it lies in the store."""
+"""Decoding of what clients and operators send: job calls over HTTP, and the configuration
+and directives in the store."""
 
 import re
 import typing as t
@@ -44,8 +44,9 @@
 MAX_SPEC_BYTES: t.Final = 4000
 MAX_STEPS: t.Final = 100
 MAX_TASKS: t.Final = 5000
-# Numbers above this are exact in no client's JSON, and above 64 bits can't be written
-# down: one such job ended the decider that took it, and the next when it came again.
+# JSON numbers above this lose precision in many clients. Integers above 64 bits can't be
+# serialized: such a job crashes the leader that accepts it, and then its successor when
+# the client submits the job again.
 MAX_NUMBER: t.Final = 2**53
 OK: t.Final = 200
 GONE: t.Final = 410
@@ -54,7 +55,7 @@
 class Answer(t.NamedTuple):
     """An HTTP answer to a client.
 
-    :param retry_after_s: when to come back; 0 for no advice.
+    :param retry_after_s: when the client should retry; 0 sends no such header.
     """
 
     status: int
@@ -76,8 +77,8 @@
 
 
 class _Route(msgspec.Struct):
-    """``extension`` is the factor by which a job's chain of work may be stretched,
-    ``target_latency_ms`` what is added to that."""
+    """A queue. A job's target is its critical path times ``extension``, plus
+    ``target_latency_ms``."""
 
     name: str
     host: str
@@ -107,12 +108,12 @@
 
 
 class _HallDirective(msgspec.Struct):
-    """Stands while a data hall gets nothing further; its fields are not in use yet."""
+    """Record of an evacuated data hall, which gets no more tasks; it has no fields yet."""
 
 
 class _Step(msgspec.Struct):
-    """``anti_affinity`` is the most tasks of the step on one box; ``fills`` says that
-    the step takes only unused processor time."""
+    """``anti_affinity`` is the maximum of the step's tasks on one box; ``fills`` marks
+    best-effort tasks, which take only unused processor time."""
 
     count: int
     cpu: int = 0
@@ -148,9 +149,10 @@
 
 
 def decode_directive(record: Record) -> Config | HallDirective | None:
-    """Return what operators ask in a record; ``None`` if it is about something else.
+    """Return the configuration or directive in an operators' record.
 
-    :raises MalformedOrder: if it can't be read.
+    :returns: ``None`` if the record is neither.
+    :raises MalformedDirective: if it can't be decoded.
     """
     key, value = record
     if key == CONFIG_KEY and value is not None:
@@ -201,7 +203,7 @@
 
 
 class QueueIndex:
-    """Finds the queue that a request names, whatever the number of queues."""
+    """Finds the queue of a request by host and path prefix, without a scan of all queues."""
 
     def __init__(self, config: Config) -> None:
         self._by_host: dict[str, list[Queue]] = {}
@@ -223,9 +225,9 @@
 def decode_call(
     index: QueueIndex, method: str, host: str, path: str, body: bytes
 ) -> DecodedCall:
-    """Return what a client asks.
+    """Return the call that a client's request makes.
 
-    :raises InvalidInput: if the request is malformed; nothing was done.
+    :raises InvalidInput: if the request is malformed; nothing has been done yet.
     """
     path = path.split("?", 1)[0]
     queue = index.find(host, path)
@@ -234,18 +236,18 @@
     job = path[len(queue.prefix) :].strip("/")
     if not job:
         if method != "GET":
-            raise InvalidInput(f"{method} needs a job's id after the prefix")
+            raise InvalidInput(f"{method} needs a job id after the queue's prefix")
         return CountWaiting(queue.name)
     if not JOB_ID.fullmatch(job):
-        raise InvalidInput("a job's id is 16 hex digits")
+        raise InvalidInput("a job id must be 16 lowercase hex digits")
     if method == "GET":
         return GetState(job)
     if method == "DELETE":
         return CancelJob(job)
     if method != "POST":
-        raise InvalidInput(f"{method} is not a method of jobs")
+        raise InvalidInput(f"method {method} is not allowed: use GET, POST or DELETE")
     if len(body) > index.max_body_bytes:
-        raise InvalidInput("the body is too long")
+        raise InvalidInput(f"the body has more than {index.max_body_bytes} bytes")
     return SubmitJob(_submission(job, queue, body))
 
 
@@ -257,14 +259,18 @@
     if len(raw.spec.encode()) > MAX_SPEC_BYTES:
         raise InvalidInput(f"spec has more than {MAX_SPEC_BYTES} bytes")
     if not 0 < len(raw.steps) <= MAX_STEPS:
-        raise InvalidInput(f"a job has 1 to {MAX_STEPS} steps")
+        raise InvalidInput(
+            f"a job must have 1 to {MAX_STEPS} steps, not {len(raw.steps)}"
+        )
     times = (raw.repeat_count, raw.start_at_ms, raw.interval_ms)
     if not _in_range(times):
-        raise InvalidInput("a time is out of range")
+        raise InvalidInput(
+            f"repeat_count, start_at_ms and interval_ms must be 0 to {MAX_NUMBER}"
+        )
     steps = tuple(_step(number, step) for number, step in enumerate(raw.steps))
     tasks = sum(step.count for step in steps) * max(1, raw.repeat_count)
     if tasks > MAX_TASKS:
-        raise InvalidInput(f"a job has at most {MAX_TASKS} tasks")
+        raise InvalidInput(f"a job must have no more than {MAX_TASKS} tasks")
     return Submission(
         job=job,
         queue=queue.name,
@@ -281,9 +287,11 @@
     amounts = (raw.cpu, raw.mem_mb, raw.gpu, raw.anti_affinity, raw.may_miss)
     durations = (raw.estimate_ms, raw.target_ms)
     if raw.count < 1 or not _in_range(amounts) or not _in_range(durations):
-        raise InvalidInput(f"step {number}: an amount is out of range")
+        raise InvalidInput(
+            f"step {number}: count must be 1 or more, numbers 0 to {MAX_NUMBER}"
+        )
     if any(not 0 <= earlier < number for earlier in raw.depends_on):
-        raise InvalidInput(f"step {number}: depends on no earlier step")
+        raise InvalidInput(f"step {number}: depends_on must name earlier steps")
     return Step(
         count=raw.count,
         cpu=raw.cpu,
@@ -316,7 +324,7 @@
 
 
 def encode_outcome(outcome: JobOutcome) -> Answer:
-    """Return the answer that tells a client ``outcome``."""
+    """Return the HTTP answer for ``outcome``."""
     if isinstance(outcome, NoSuchJob):
         return Answer(GONE)
     if isinstance(outcome, JobState):
--- a/src/granitetrestle/platform/process.py
+++ b/src/granitetrestle/platform/process.py
@@ -1,4 +1,4 @@
-"""Starts the program as a native of the platform: settings, sockets, signals."""
+"""Process of the platform: settings, listening sockets, signals and graceful shutdown."""
 
 import signal
 import socket
@@ -36,21 +36,23 @@
 
 __all__ = ["METRICS_PORT", "run"]
 
-# Named in deploy/system.toml as well.
+# deploy/system.toml names this port as well.
 METRICS_PORT: t.Final = 9464
-# Part of the connections for calls to boxes and the store.
+# Of the connections, for calls to boxes and the store. The rest are for clients and for
+# peers, whose sockets take up to three descriptors each.
 CALL_CONNECTIONS_SHARE: t.Final = 0.7
-# The processes of one deployment are alone on its network.
+# No secret is needed: only processes of one deployment reach its network.
 PEER_TOKEN: t.Final = "granitetrestle"
 KEEP_ALIVE_TIMEOUT_S: t.Final = 20
-# Of its descriptors the platform reserves so many for files.
+# Descriptors of the process that the platform reserves for files.
 RESERVED_FILES: t.Final = 200
 PRUNE_INTERVAL_S: t.Final = 1.0
-# The platform asks every second and sends no new connections after two misses.
+# The platform checks readiness every second, and after two failures it sends no new
+# connections.
 UNREADY_NOTICE_S: t.Final = 2.2
-# For the answers to requests that are given up when the grace is over.
+# Time to send the answers of requests that are abandoned when the grace period ends.
 LAST_ANSWERS_WAIT_S: t.Final = 0.1
-# Left of the grace after all waits, for closing down.
+# Part of the grace period that is kept for closing, after all waits.
 CLOSING_RESERVE_S: t.Final = 0.8
 
 
@@ -100,7 +102,7 @@
 
 
 def _listen(address: Address) -> socket.socket:
-    # With the protocol named, asyncio switches off the delay of small writes.
+    # asyncio sets TCP_NODELAY only on sockets that were created with an explicit protocol.
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((address.ip, address.port))
@@ -114,7 +116,6 @@
     log: NodeLog,
     metrics: NodeMetrics,
 ) -> None:
-    # The others are for peers, whose sockets take up to three each, and for clients.
     caller = Caller(int((settings.max_files - RESERVED_FILES) * CALL_CONNECTIONS_SHARE))
     node = _node(settings, off, caller, log, metrics)
     stopping = False
@@ -151,7 +152,8 @@
         log.event("stopping", grace_s=settings.grace_s)
         max_wait_s = settings.grace_s - CLOSING_RESERVE_S
         await node.stop(max_wait_s)
-        # Open connections may still bring requests until the platform has noticed.
+        # Requests still arrive over open connections until the platform's readiness check
+        # has failed.
         while (
             time.monotonic() - stopping_since < min(UNREADY_NOTICE_S, max_wait_s)
             or not node.idle
@@ -176,18 +178,18 @@
 
 
 async def _wait_for_stop_signal(log: NodeLog) -> None:
-    """Return when the process is asked to stop."""
+    """Return when the process receives SIGTERM or SIGINT; SIGHUP is only logged."""
     handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     with anyio.open_signal_receiver(*handled) as signals:
         async for number in signals:
             if number != signal.SIGHUP:
                 return
-            # Nothing in the settings changes what runs: addresses stay for a life.
+            # Nothing to reload: the settings are fixed for an incarnation.
             log.event("reload", changed=False)
 
 
 def run(boot_file: str, off: frozenset[Mechanism] = frozenset()) -> None:
-    """Run until a signal asks the process to stop.
+    """Run until the process receives SIGTERM or SIGINT.
 
     :param off: mechanisms that are switched off.
     :raises SettingsError: if the settings file is malformed.
--- a/src/granitetrestle/platform/server.py
+++ b/src/granitetrestle/platform/server.py
@@ -1,5 +1,5 @@
-"""HTTP for clients, for the platform's question whether a node is ready, and for
-figures: a plain ASGI application on the addresses that the settings name."""
+"""ASGI application of a node: client requests, readiness checks and metrics, each on
+its own port from the settings."""
 
 import time
 import typing as t
@@ -20,12 +20,12 @@
 __all__ = ["FrontResponder", "Ports", "make_app"]
 
 DEADLINE_HEADER: t.Final = b"deadline-ms"
-# What a client that names no time limit gets; the longest one on the sheets.
+# For clients that send no deadline: the longest one in the platform's specification.
 DEFAULT_DEADLINE_S: t.Final = 3.0
-# Taken off a client's time limit, so that its answer still reaches it.
+# Subtracted from a client's deadline, so that the answer arrives in time.
 ANSWER_SLACK_S: t.Final = 0.05
 MAX_BODY_BYTES: t.Final = 1024 * 1024
-# What the store takes where the settings don't say it.
+# Used where the settings name no limit.
 DEFAULT_MAX_RECORD_BYTES: t.Final = 262_144
 RETRY_AFTER_S: t.Final = 1
 
@@ -54,7 +54,7 @@
     ) -> ClientAnswer:
         """See :class:`..node.Responder`."""
         if session.over:
-            # A refusal would be true, but the successor may well take it.
+            # Nothing has been done yet, and the successor may accept the call.
             raise Deposed
         config = session.config
         if config is None:
@@ -69,7 +69,7 @@
         if isinstance(decoded, SubmitJob) and session.store_unavailable:
             refusal = "store away"
         elif not session.serving:
-            refusal = "the configuration was not confirmed of late"
+            refusal = "the configuration was not confirmed recently"
         if refusal and not _is_submitted(session, decoded):
             return _retry_later(refusal, session.retry_after_s)
         if not await session.confirm() and not _is_submitted(session, decoded):
@@ -81,21 +81,23 @@
         return ClientAnswer(answer.status, answer.body)
 
     def _check_size(self, decoded: front.DecodedCall) -> None:
-        """Refuse what the store would not take: its append would be repeated for ever,
-        by this decider and by each next one that the job is handed to.
+        """Reject a job that the store would not take: this leader, and each successor
+        that the job is submitted to, would retry its append for ever.
 
-        :raises InvalidInput: if a job is too long for a record.
+        :raises InvalidInput: if the job's record is too long for the store.
         """
         if not isinstance(decoded, SubmitJob):
             return
         record = encode_record(submission_record(decoded.submission))
         if len(record) - LENGTH_PREFIX_BYTES > self._record_bytes:
-            raise InvalidInput("the job is too long for the store")
+            raise InvalidInput(
+                f"the job's record has more than {self._record_bytes} bytes"
+            )
 
 
 def _is_submitted(session: Session, decoded: front.DecodedCall) -> bool:
-    """Say whether a job was taken, perhaps not yet durably: to refuse it now would
-    be untrue."""
+    """Return whether the call submits a job that is already accepted, perhaps not yet
+    durably. To refuse such a call would be wrong, since the job may run."""
     if not isinstance(decoded, SubmitJob):
         return False
     return decoded.submission.job in session.scheduler.state.workflows
@@ -106,16 +108,16 @@
 
 
 class Ports(t.NamedTuple):
-    """Which port asks what; all others are for clients."""
+    """Ports for readiness checks and metrics; all others serve clients."""
 
     ready: int
     metrics: int
 
 
 def make_app(node: Node, ports: Ports, stopping: t.Callable[[], bool]) -> t.Any:
-    """Return the application.
+    """Return the ASGI application of ``node``.
 
-    :param stopping: whether connections should be closed after their answer.
+    :param stopping: returns whether connections are closed after their answer.
     """
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
--- a/src/granitetrestle/platform/settings.py
+++ b/src/granitetrestle/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays beside each process."""
+"""Decoding of the settings file that the platform provides for each process."""
 
 import json
 import pathlib
@@ -10,20 +10,22 @@
 __all__ = ["BOOT_VARIABLE", "OFF_VARIABLE", "PlatformSettings", "load_boot_file"]
 
 BOOT_VARIABLE: t.Final = "GRANITETRESTLE_BOOT"
-# Names of mechanisms to switch off, for measurements.
+# Lists mechanisms to switch off, for measurements.
 OFF_VARIABLE: t.Final = "GRANITETRESTLE_SWITCHED_OFF"
 
 
 class PlatformSettings(t.NamedTuple):
-    """What a process is told by the platform. Durations are in seconds.
+    """Settings of one process. Durations are in seconds.
 
-    :param front: where clients connect; ``ready`` where the platform asks.
-    :param ports: first and last port for what processes say to each other.
-    :param hold_max_s: longest lease that a box grants.
+    :param front: address for clients.
+    :param ready: address for the platform's readiness checks.
+    :param ports: first and last port for messages between processes.
+    :param max_lease_s: longest lease that a box grants.
     :param grace_s: time from SIGTERM to SIGKILL.
-    :param advice: service that names the boxes fit for a step, or ``None``.
-    :param max_files: descriptors of the process.
-    :param writes_per_s: writing calls that the store takes from all processes.
+    :param job_status_s: how long the state of an ended job can be queried.
+    :param advice: address of the service that says what boxes may run a step, if any.
+    :param max_files: maximum of open descriptors.
+    :param writes_per_s: maximum of appends to the store per second, by all processes.
     """
 
     node: str
@@ -48,7 +50,7 @@
 
 
 def load_boot_file(path: str) -> PlatformSettings:
-    """Read and decode the settings file; keys that we do not know are left alone.
+    """Read and decode the settings file; unknown keys are ignored.
 
     :raises SettingsError: naming each key that is missing or malformed.
     """
@@ -57,19 +59,22 @@
     except (OSError, ValueError) as error:
         raise SettingsError([f"{path}: {error}"]) from error
     if not isinstance(raw, dict):
-        raise SettingsError([f"{path}: not a table"])
+        raise SettingsError([f"{path}: not a JSON object"])
     return _Decoder(raw).decode()
 
 
 class _Decoder:
-    """Collects all problems of a settings file before it gives up."""
+    """Decodes a settings file; reports all its problems in one error."""
 
     def __init__(self, raw: dict[str, t.Any]) -> None:
         self._raw = raw
         self._problems: list[str] = []
 
     def decode(self) -> PlatformSettings:
-        """Return the settings."""
+        """Return the settings.
+
+        :raises SettingsError: naming each key that is missing or malformed.
+        """
         ports = self._ports()
         settings = PlatformSettings(
             node=self._text("node_name"),
@@ -107,7 +112,7 @@
         value = self._find(key)
         if isinstance(value, str) and value:
             return value
-        self._problems.append(f"{key}: needs a text")
+        self._problems.append(f"{key}: {value!r} is not a non-empty string")
         return ""
 
     def _number(self, key: str, default: float) -> float:
@@ -135,5 +140,7 @@
         pair = isinstance(value, list) and len(value) == 2
         if pair and all(isinstance(port, int) for port in value):
             return value[0], value[1]
-        self._problems.append("internal_ports: needs a first and a last port")
+        self._problems.append(
+            f"internal_ports: {value!r} is not a list of a first and a last port"
+        )
         return 0, 0
--- a/src/granitetrestle/platform/store.py
+++ b/src/granitetrestle/platform/store.py
@@ -1,5 +1,5 @@
-"""Calls to the platform's store: appends that fence by epoch, the newest record of
-each key, and reads from an offset."""
+"""Client of the platform's store: appends fenced by epoch, pages of the newest record
+of each key, and reads from an offset."""
 
 import collections
 import struct
@@ -31,13 +31,13 @@
     "encode_record",
 ]
 
-# Topics that the platform itself writes: the operator's records and the boxes'.
+# Topics that the platform writes: operators' records, and the boxes' entries.
 CONFIG_TOPIC: t.Final = "keyed.op"
 BOX_TOPIC: t.Final = "keyed.servers"
 PRODUCER: t.Final = "granitetrestle"
-# Of a record's length, which stands before it and does not count.
+# Size of the length prefix of a record; the length doesn't include it.
 LENGTH_PREFIX_BYTES: t.Final = 4
-# An answer takes some 5 ms; a store that is slow takes up to half a second.
+# An answer takes some 5 ms, and up to half a second if the store is slow.
 READ_TIMEOUT_S: t.Final = 1.0
 MAX_ANSWER_BYTES: t.Final = 4 * 1024 * 1024
 OK: t.Final = 200
@@ -46,7 +46,8 @@
 
 
 class _Item(msgspec.Struct):
-    """The value is decoded from base64 as it is read: its text is never held."""
+    """A record of a page. Its value is decoded from base64 while the page is parsed, so
+    that the encoded text is never held in memory."""
 
     key: str
     value: bytes = b""
@@ -59,7 +60,7 @@
 
 
 class _AppendAnswer(msgspec.Struct):
-    """``call_seq`` is the number that the store expects."""
+    """``call_seq`` is the sequence number that the store expects next."""
 
     end: int = 0
     reason: str = ""
@@ -71,12 +72,12 @@
 
 
 class PlatformStore(Store):
-    """The store over HTTP, partition 0 of each topic."""
+    """Calls the store over HTTP; uses partition 0 of each topic."""
 
     def __init__(self, address: str, caller: Caller) -> None:
         self._address = address
         self._caller = caller
-        # Appends on their way, by topic and writer.
+        # Number of appends in flight, by topic and writer.
         self._in_flight: collections.Counter[tuple[str, Writer]] = collections.Counter()
         self.calls = 0
 
@@ -117,8 +118,8 @@
         timeout_s: float,
         body: bytes,
     ) -> Reply | StoreUnavailable:
-        """Send an append; one that repeats another on its way goes over a new
-        connection, since the other's may have gone silent."""
+        """Send an append. One that repeats an append in flight uses a new connection,
+        since the connection of the other may be dead."""
         path = "/api/log-append"
         if writer is None:
             return await self._call("POST", path, query, timeout_s, body)
@@ -138,7 +139,7 @@
         """See :meth:`.interfaces.Store.newest_page`."""
         query = {"topic": topic, "part": "0"}
         if after is not None:
-            # The platform's name for "after this key".
+            # The platform's name for the key after which a page starts.
             query["depends_on"] = after
         reply = await self._call("GET", "/api/log-newest", query, timeout_s)
         if isinstance(reply, StoreUnavailable):
@@ -202,14 +203,15 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Return a keyed record as it goes to the store."""
+    """Return a keyed record in the store's binary format: length, key length, key,
+    value."""
     key = record.key.encode()
     value = record.value or b""
     return struct.pack(">IB", 1 + len(key) + len(value), len(key)) + key + value
 
 
 def decode_records(data: bytes) -> list[Record]:
-    """Return the keyed records in ``data``.
+    """Return the keyed records in ``data``, in the format of :func:`encode_record`.
 
     :raises struct.error: if it is cut short.
     """
@@ -221,7 +223,8 @@
         if position + length > len(data):
             raise struct.error("cut short")
         key_end = position + 1 + data[position]
-        # Keys of other writers may be no text; their records must not stop the reading.
+        # Other writers may use keys that are not UTF-8; such a record must not make the
+        # rest unreadable.
         key = data[position + 1 : key_end].decode(errors="replace")
         value = data[key_end : position + length]
         records.append(Record(key, value or None))
