--- a/src/granitetrestle/calls.py
+++ b/src/granitetrestle/calls.py
@@ -1,6 +1,6 @@
-"""HTTP calls to endpoints, peers, boxes and the platform. Connections are held
-directly, in a free list for each address, so that a slot is a connection and it is
-known exactly whether the first byte has left."""
+"""HTTP client with a connection pool, for calls to endpoints, peers, boxes and the
+platform. It handles connections directly, so that it knows for each call whether any byte
+was sent, and a failure can prove that the request has not run."""
 
 import abc
 import ipaddress
@@ -21,7 +21,7 @@
 MAX_FRESH_IDLE_S = 0.5
 DEFAULT_MAX_ANSWER_BYTES = 1024 * 1024
 MAX_IDLE_PER_KEY = 64
-# More connections than a process usually has descriptors for.
+# No limit in practice: more than a process usually has descriptors for.
 DEFAULT_MAX_OPEN = 1_000_000
 DEFAULT_TIMEOUT_S = 2.0
 REQUEST_ID = "x-request-id"
@@ -29,7 +29,8 @@
 
 
 def is_address(text: str) -> bool:
-    """Say whether ``text`` is IP:PORT; names are not looked up."""
+    """Return whether ``text`` is IP:PORT, with an IPv4 address; host names are not
+    resolved."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
@@ -39,14 +40,17 @@
 
 
 class Reply(t.NamedTuple):
-    """A whole answer."""
+    """A complete HTTP answer."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
     body: bytes
 
     def header(self, name: bytes) -> bytes:
-        """Return a header's value, or nothing."""
+        """Return a header's value, or ``b""`` if it is missing.
+
+        :param name: in lower case.
+        """
         for key, value in self.headers:
             if key.lower() == name:
                 return value
@@ -54,10 +58,11 @@
 
 
 class CallFailure(t.NamedTuple):
-    """No whole answer, and what that proves.
+    """A call without a complete answer from the party that was called.
 
-    :param timed_out: whether the time was over, with the connection still open.
-    :param stranger: what somebody else answered than the party that was to be called.
+    :param proof: whether the request may have run, and what failed.
+    :param timed_out: whether the timeout passed, with the connection still open.
+    :param other_reply: the answer, if it came from another than the party.
     """
 
     proof: Proof
@@ -66,7 +71,7 @@
 
 
 class Request(t.NamedTuple):
-    """What is sent to an address."""
+    """An HTTP request."""
 
     path: str
     headers: tuple[tuple[bytes, bytes], ...] = ()
@@ -75,23 +80,29 @@
 
 
 class Party(abc.ABC):
-    """Who is to be called, where the address alone doesn't tell. A process takes its
-    connections with it when it ends, so that who has answered over one of them once is
-    who takes all that is sent there."""
+    """The process that a call is for, where the address doesn't identify it.
+
+    A process's connections close when it ends. Whoever has identified itself over a
+    connection therefore receives all that is sent over it.
+    """
 
     @property
     @abc.abstractmethod
     def name(self) -> str:
-        """What its connections are kept under, beside the address."""
+        """Part of the pool key of its connections, beside the address."""
 
     @abc.abstractmethod
     def identity_request(self) -> Request:
-        """Return what asks who answers, and does nothing to whoever that is."""
+        """Return a request whose answer identifies the receiver, and that has no effect
+        on it."""
 
     @abc.abstractmethod
     def is_sender(self, reply: Reply) -> bool | None:
-        """Say whether an answer to the question, or to a call whose answers tell who
-        gives them, is the party's; ``None`` if this one doesn't tell."""
+        """Return whether this party sent an answer to the identity request, or to
+        another request whose answer identifies the sender.
+
+        :returns: ``None`` if the answer doesn't identify its sender.
+        """
 
 
 class _Idle(t.NamedTuple):
@@ -100,11 +111,10 @@
 
 
 class Caller:
-    """Keeps idle connections by address, and by party where one is called, and makes calls
-    on them.
+    """Makes calls over a pool of idle connections, by address, or by address and party.
 
-    :param most_open: connections that may be open at once. Without a bound a process that
-        calls thousands of boxes runs out of descriptors, and all it does fails.
+    :param max_open: maximum of open connections. Without a limit a process that calls
+        thousands of boxes runs out of descriptors, and all its calls fail.
     """
 
     def __init__(self, max_open: int = DEFAULT_MAX_OPEN) -> None:
@@ -133,11 +143,11 @@
         """Send one request to an address and read the whole answer.
 
         :param timeout_s: seconds after which the connection is closed.
-        :param limit: longest answer taken, in bytes.
-        :param fresh: use only a connection known good a moment ago, or a new
-            one.
-        :param new: use a new connection: one that is open may have gone silent.
-        :returns: the reply, or a failure with the proof that it gives.
+        :param limit: maximum length of the answer, in bytes.
+        :param fresh: use a new connection, or one that was in use less than
+            ``MAX_FRESH_IDLE_S`` ago.
+        :param new: use a new connection: one that is open may be dead.
+        :returns: the reply, or a failure that says whether the request may have run.
         """
         max_age_s = MAX_FRESH_IDLE_S if fresh else MAX_IDLE_S
         pooled = None if new else self._take_idle(address, max_age_s)
@@ -156,11 +166,13 @@
         no_side_effects: bool = False,
         answer_identifies: bool = False,
     ) -> Reply | CallFailure:
-        """Send one request to a party, and to nobody else who answers at its address.
+        """Send one request to a party, and to no other process at its address.
 
-        :param harmless: whether the request does nothing to another that it reaches.
-        :param tells: whether its answer tells who gives it.
-        :returns: as :meth:`call`; a failure with what the stranger answered, if one did.
+        :param no_side_effects: whether the request has no effect on another process that
+            it reaches; if its answer identifies the sender too, no identity request goes
+            before it.
+        :param answer_identifies: whether the answer identifies its sender.
+        :returns: as :meth:`call`; the failure has the other process's answer, if any.
         """
         key = f"{address} {party.name}"
         verify_first = not (no_side_effects and answer_identifies)
@@ -191,8 +203,8 @@
                 outcome = await exchange.run(connection, verified)
                 done = isinstance(outcome, Reply)
                 return outcome
-            # Open connections may all have gone silent, without a reset, while new ones
-            # work: none is tried after the first, which saves a time-out for each.
+            # After a network fault all open connections may be dead without a reset, while
+            # new ones work. Closing them all saves a timeout for each.
             self._close_idle(exchange.key)
             return CallFailure(Proof(sent, "no answer in time"), timed_out=True)
         finally:
@@ -203,7 +215,10 @@
                     connection.close()
 
     def _make_room(self) -> bool:
-        """Close the connection that was idle for longest, if there are too many."""
+        """Close the longest idle connection if the limit is reached.
+
+        :returns: whether a connection may be opened.
+        """
         if self.open_connections < self._max_open:
             return True
         oldest = min(
@@ -245,7 +260,7 @@
             pooled.connection.close()
 
     async def prune(self) -> None:
-        """Close connections before the far side does."""
+        """Close old idle connections, before the server does."""
         limit = time.monotonic() - MAX_IDLE_S
         for key, idle in list(self._idle.items()):
             old = [pooled for pooled in idle if pooled.since < limit]
@@ -263,16 +278,17 @@
     try:
         return await connect(host, int(port), limit, count_open)
     except (OSError, ValueError, OverflowError) as error:
-        # The latter two: what should be an address is none.
+        # ValueError and OverflowError: the address is malformed.
         return CallFailure(Proof(False, f"not connected: {error!r}"))
 
 
 class _Exchange(t.NamedTuple):
     """One request over one connection.
 
-    :param key: what the connection is kept under.
-    :param asks: whether a new connection needs the party's question first.
-    :param tells: whether the answer to the request tells who gives it.
+    :param key: pool key of the connection.
+    :param limit: maximum length of the answer, in bytes.
+    :param verify_first: whether a new connection needs an identity request first.
+    :param answer_identifies: whether the request's answer identifies its sender.
     """
 
     key: str
@@ -284,9 +300,9 @@
     answer_identifies: bool = False
 
     async def verify_party(self, connection: Connection) -> CallFailure | None:
-        """Learn who is at the other end of a new connection, if that is asked for.
+        """Send the identity request over a new connection, if needed.
 
-        :returns: a failure, unless the request may be sent.
+        :returns: a failure, or ``None`` if the request may be sent.
         """
         if self.party is None or not self.verify_first:
             return None
@@ -294,16 +310,18 @@
         reply = await _send(connection, identity_request)
         if isinstance(reply, CallFailure):
             return CallFailure(
-                Proof(False, f"no answer who it is: {reply.proof.detail}")
+                Proof(False, f"no answer to the identity request: {reply.proof.detail}")
             )
         if self.party.is_sender(reply):
             return None
-        return CallFailure(Proof(False, "somebody else answers"), other_reply=reply)
+        return CallFailure(
+            Proof(False, "another process answers at the address"), other_reply=reply
+        )
 
     async def run(self, connection: Connection, verified: bool) -> Reply | CallFailure:
         """Send the request and return the whole answer.
 
-        :param proved: whether it is known who is at the other end.
+        :param verified: whether the party has identified itself over the connection.
         """
         reply = await _send(connection, _encode_request(self.address, self.request))
         if (
@@ -315,7 +333,7 @@
         matches = self.party.is_sender(reply)
         if matches or (matches is None and verified):
             return reply
-        return CallFailure(Proof(True, "somebody else answered"), other_reply=reply)
+        return CallFailure(Proof(True, "another process answered"), other_reply=reply)
 
 
 def _encode_request(address: str, request: Request) -> bytes:
@@ -325,20 +343,22 @@
     ]
     for name, value in request.headers:
         if b"\n" in name + value or b"\r" in name + value:
-            raise ValueError(f"a header may not hold a line end: {name!r}")
+            raise ValueError(f"header {name!r} must not contain a line break")
         lines.append(b"%s: %s\r\n" % (name, value))
     return b"".join((*lines, b"\r\n", request.body))
 
 
 async def _send(connection: Connection, request: bytes) -> Reply | CallFailure:
-    # A connection that closed while idle has not carried a byte of this request.
+    # No byte of the request has been sent over a connection that closed while idle.
     if not connection.idle:
-        return CallFailure(Proof(False, "the connection had closed"))
+        return CallFailure(Proof(False, "the connection was closed while idle"))
     try:
         response: Response = await connection.exchange(request)
     except ConnectionLost as error:
         return CallFailure(Proof(True, str(error)))
     reply = Reply(*response)
     if reply.header(REFUSED_HEADER):
-        return CallFailure(Proof(False, "the endpoint refused before it began"))
+        return CallFailure(
+            Proof(False, "the endpoint refused the request before it started")
+        )
     return reply
--- a/src/granitetrestle/connection.py
+++ b/src/granitetrestle/connection.py
@@ -1,6 +1,6 @@
-"""One HTTP/1.1 connection of a client, over asyncio's transports and httptools, the
-parser that uvicorn uses: a decider makes hundreds of calls a second on part of a core,
-which general clients take too long for. Connections are pooled by :mod:`.calls`."""
+"""HTTP/1.1 client connection over asyncio's transports and httptools, the parser that
+uvicorn uses. A leader makes hundreds of calls a second on part of a core, for which
+general HTTP clients are too slow. :mod:`.calls` keeps the pool of connections."""
 
 import asyncio
 import socket
@@ -10,17 +10,18 @@
 
 __all__ = ["Connection", "ConnectionLost", "Response", "connect"]
 
-# A peer that lost power never answers: give its connection up after this.
+# A server that lost power sends no reset: unacknowledged data closes the connection
+# after this time.
 USER_TIMEOUT_MS: t.Final = 4000
 CONNECT_TIMEOUT_S: t.Final = 1.0
 
 
 class ConnectionLost(Exception):
-    """The connection ended without a whole answer."""
+    """The connection failed before the answer was complete."""
 
 
 class Response(t.NamedTuple):
-    """A whole answer."""
+    """A complete HTTP answer."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -28,9 +29,11 @@
 
 
 class Connection(asyncio.Protocol):
-    """Carries one request at a time.
+    """A connection that carries one request at a time.
 
-    :ivar idle: whether it can take a request: open, with nothing on its way.
+    :param limit: maximum length of an answer, in bytes.
+    :param count_open: called with 1 when the connection opens, and -1 when it closes.
+    :ivar idle: whether it can take a request: open, with no request in flight.
     """
 
     def __init__(self, limit: int, count_open: t.Callable[[int], None]) -> None:
@@ -59,7 +62,7 @@
     def data_received(self, data: bytes) -> None:
         """See :class:`asyncio.Protocol`."""
         if self._pending is None:
-            self._fail("data that nobody asked for")
+            self._fail("data without a request")
             return
         try:
             self._parser.feed_data(data)
@@ -67,19 +70,19 @@
             self._fail(f"malformed answer: {error}")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header from the parser."""
+        """Collect a header; called by the parser."""
         self._headers.append((name, value))
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body from the parser."""
+        """Collect a part of the body; called by the parser."""
         self._size += len(data)
         if self._size > self._limit:
-            self._fail("the answer is too long")
+            self._fail(f"the answer has more than {self._limit} bytes")
         else:
             self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Hand over the answer; called by the parser."""
+        """Complete the answer; called by the parser."""
         pending, self._pending = self._pending, None
         if pending is None or pending.done():
             return
@@ -98,10 +101,10 @@
     async def exchange(self, request: bytes) -> Response:
         """Send a request and return the whole answer.
 
-        :raises ConnectionLost: if there is none.
+        :raises ConnectionLost: if the connection fails before the answer is complete.
         """
         if not self.idle or self._transport is None or self._transport.is_closing():
-            raise ConnectionLost("not open")
+            raise ConnectionLost("the connection is not open")
         self.idle = False
         self._headers, self._body, self._size = [], [], 0
         self._parser = httptools.HttpResponseParser(self)
@@ -121,9 +124,9 @@
 ) -> Connection:
     """Open a connection.
 
-    :param limit: longest answer taken, in bytes.
-    :param changed: told 1 when it is open, and -1 when it is closed.
-    :raises OSError: if it can't be opened; ``TimeoutError`` is one.
+    :param limit: maximum length of an answer, in bytes.
+    :param count_open: called with 1 when the connection opens, and -1 when it closes.
+    :raises OSError: if it can't be opened, or not within ``CONNECT_TIMEOUT_S``.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/src/granitetrestle/steadyclock.py
+++ b/src/granitetrestle/steadyclock.py
@@ -1,7 +1,9 @@
-"""A steady clock that goes on while the machine is suspended. A right that was confirmed a
-moment ago by :func:`time.monotonic` may have been confirmed minutes ago, if the machine
-slept in between; whatever bounds a right is timed by :func:`now`. What is only waited for
-or measured is timed by :func:`time.monotonic`, as timers are."""
+"""Monotonic clock that counts the time while the machine is suspended.
+
+:func:`time.monotonic` stops while the machine is suspended: by it a lease confirmed
+minutes ago may look fresh. Whatever limits the validity of a lease is timed by
+:func:`now`; timers and measurements use :func:`time.monotonic`.
+"""
 
 import time
 import typing as t
@@ -10,7 +12,7 @@
 
 
 def _suspend_aware_clock() -> int | None:
-    """Return the system's clock that counts suspended time, if it has one."""
+    """Return the id of the system's clock that counts suspended time, if it has one."""
     clock = getattr(time, "CLOCK_BOOTTIME", None)
     try:
         time.clock_gettime(clock)  # type: ignore[arg-type]
@@ -23,11 +25,11 @@
 
 
 def now() -> float:
-    """Return seconds since the machine was started, those included for which it was
-    suspended; where the system has no such clock, those of the steady clock."""
+    """Return seconds since the machine was started, with the time while it was
+    suspended; on a system without such a clock, the time of :func:`time.monotonic`."""
     return time.monotonic() if _CLOCK is None else time.clock_gettime(_CLOCK)
 
 
 def suspended_s() -> float:
-    """Return for how long the machine has been suspended in all, in seconds."""
+    """Return the total time for which the machine has been suspended, in seconds."""
     return now() - time.monotonic()
--- a/tools/build_deploy.py
+++ b/tools/build_deploy.py
@@ -1,6 +1,6 @@
-"""Puts what runs on the platform under target/deps: the libraries of the daemon, at
-the versions in constraints.txt, and this package, compiled. Libraries are installed
-again only when the lists of them have changed."""
+"""Builds target/deps for deployment on the platform: the daemon's libraries, at the
+versions in constraints.txt, and this package, compiled. Libraries are installed again
+only when ``LIBRARIES`` or constraints.txt have changed."""
 
 import compileall
 import hashlib
@@ -13,7 +13,7 @@
 DEPS = ROOT / "target" / "deps"
 LIBRARIES_STAMP = ROOT / "target" / "deps.stamp"
 SOURCE_STAMP = ROOT / "target" / "source.stamp"
-# What a process on the platform imports; the rest of the product's libraries would
+# Libraries that a process on the platform imports. The package's other dependencies would
 # only cost memory and time at each start.
 LIBRARIES = (
     "anyio",
@@ -28,7 +28,7 @@
 
 
 def main() -> None:
-    """Build into target/deps."""
+    """Build target/deps, or only its parts that are out of date."""
     constraints = ROOT / "constraints.txt"
     libraries_digest = hashlib.sha256(
         constraints.read_bytes() + repr(LIBRARIES).encode()
@@ -45,7 +45,7 @@
     source = ROOT / "src" / "granitetrestle"
     source_digest = _digest(source)
     package = DEPS / "granitetrestle"
-    # A second build beside running processes must not take their files away.
+    # Another build must not delete the files of running processes.
     if (
         package.exists()
         and SOURCE_STAMP.exists()
