--- a/src/granitetrestle/books.py
+++ b/src/granitetrestle/books.py
@@ -29,7 +29,7 @@
     :param doubt_ends_wall: wall time (s) after which every lease that an older
         epoch granted has lapsed, even on boxes that can't be reached.
     :param starting: boxes that a start waits for.
-    :param unheard: boxes that have not reported since ``quiet_wall``.
+    :param unheard: boxes that have not reported since ``old_starts_expired_wall``.
     :param evacuated: nothing further starts in the data hall.
     :param superseded: a box has shown a newer epoch; nothing is decided any more.
     :param doubts: tasks that an older epoch may have running somewhere.
@@ -37,41 +37,41 @@
 
     shard: int
     epoch: int
-    quiet_wall: float
-    doubt_ends_wall: float
+    old_starts_expired_wall: float
+    old_leases_expired_wall: float
     index: CapacityIndex = dataclasses.field(default_factory=CapacityIndex)
     waiting: WaitingTasks = dataclasses.field(default_factory=WaitingTasks)
-    where: dict[str, str] = dataclasses.field(default_factory=dict)
+    box_of_task: dict[str, str] = dataclasses.field(default_factory=dict)
     usage: dict[str, Usage] = dataclasses.field(default_factory=dict)
-    doubts: set[str] = dataclasses.field(default_factory=set)
-    unheard: set[str] = dataclasses.field(default_factory=set)
+    uncertain: set[str] = dataclasses.field(default_factory=set)
+    unreconciled: set[str] = dataclasses.field(default_factory=set)
     listed: bool = False
     superseded: bool = False
     dirty: bool = True
     evacuated: bool = False
     blocked: dict[tuple[str, Shape], str] = dataclasses.field(default_factory=dict)
-    starting: set[str] = dataclasses.field(default_factory=set)
-    evicting_for: dict[str, float] = dataclasses.field(default_factory=dict)
+    boxes_with_starts: set[str] = dataclasses.field(default_factory=set)
+    eviction_deadlines: dict[str, float] = dataclasses.field(default_factory=dict)
 
-    def open_jobs(self, jobs: Jobs) -> None:
+    def load_jobs(self, jobs: Jobs) -> None:
         """Enter every open job of the shard, as waiting or as in doubt."""
         for job in jobs.open_in(self.shard).values():
             for task in job.tasks.values():
-                self.enter_task(job, task)
+                self.add_task(job, task)
 
-    def enter_task(self, job: Job, task: Task) -> None:
+    def add_task(self, job: Job, task: Task) -> None:
         """Enter a task; an attempt older than the epoch may already run."""
-        if task.ended or task.task in self.where:
+        if task.ended or task.task in self.box_of_task:
             return
-        if task.opened < self.epoch and self._in_doubt():
-            self.doubts.add(task.task)
+        if task.opened < self.epoch and self._reconciling():
+            self.uncertain.add(task.task)
             return
-        self.push(job, task)
+        self.enqueue(job, task)
 
-    def _in_doubt(self) -> bool:
-        return not self.listed or bool(self.unheard)
+    def _reconciling(self) -> bool:
+        return not self.listed or bool(self.unreconciled)
 
-    def push(self, job: Job, task: Task) -> None:
+    def enqueue(self, job: Job, task: Task) -> None:
         """Let a task that provably runs nowhere wait for a box."""
         self.waiting.push(
             WaitingTask(
@@ -92,7 +92,7 @@
         box = BoxState(info, self.shard, free=BoxState.total_of(info), drained=drained)
         box.evacuated = self.evacuated
         self.index.add(box)
-        self.unheard.add(info.box)
+        self.unreconciled.add(info.box)
 
     def update_box(self, box: BoxState, info: BoxInfo) -> None:
         """Take over what the list says; a resized box is entered anew."""
@@ -103,10 +103,10 @@
         self.index.remove(box.info.box)
         self.add_box(info, box.drained)
         fresh = self.index.boxes[info.box]
-        fresh.heard_wall = box.heard_wall
-        fresh.settled = box.settled
-        if box.settled:
-            self.unheard.discard(info.box)
+        fresh.last_report_wall = box.last_report_wall
+        fresh.reconciled = box.reconciled
+        if box.reconciled:
+            self.unreconciled.discard(info.box)
         for assignment in tasks:
             self.index.adopt(fresh, assignment)
 
@@ -115,22 +115,22 @@
         if adopted:
             self.index.adopt(box, assignment)
         else:
-            self.index.take(box, assignment)
-        self.where[assignment.task] = box.info.box
+            self.index.reserve(box, assignment)
+        self.box_of_task[assignment.task] = box.info.box
         usage = self.usage.get(assignment.account, Usage())
-        self.usage[assignment.account] = usage.changed(assignment.spec, 1)
-        self.doubts.discard(assignment.task)
+        self.usage[assignment.account] = usage.with_task(assignment.spec, 1)
+        self.uncertain.discard(assignment.task)
         self.waiting.discard(assignment.task)
 
     def unbook(self, task: str) -> Assignment | None:
         """Give back what a task had taken; ``None`` if it had nothing."""
-        name = self.where.pop(task, None)
+        name = self.box_of_task.pop(task, None)
         if name is None:
             return None
         box = self.index.boxes[name]
         assignment = self.index.release(box, task)
         box.starts.pop(task, None)
-        usage = self.usage[assignment.account].changed(assignment.spec, -1)
+        usage = self.usage[assignment.account].with_task(assignment.spec, -1)
         self.usage[assignment.account] = usage
         self.dirty = True
         return assignment
@@ -140,21 +140,21 @@
         for box in self.index.boxes.values():
             yield from box.tasks.values()
 
-    def heard(self, box: str, sent_wall: float, jobs: Jobs) -> None:
+    def record_report(self, box: str, sent_wall: float, jobs: Jobs) -> None:
         """Note a report; the last box to be heard settles all doubts."""
-        if sent_wall < self.quiet_wall or box not in self.unheard:
+        if sent_wall < self.old_starts_expired_wall or box not in self.unreconciled:
             return
-        self.index.boxes[box].settled = True
+        self.index.boxes[box].reconciled = True
         self.dirty = True
-        self.unheard.discard(box)
-        self.settle_doubts(jobs)
+        self.unreconciled.discard(box)
+        self.resolve_uncertain(jobs)
 
-    def settle_doubts(self, jobs: Jobs) -> None:
+    def resolve_uncertain(self, jobs: Jobs) -> None:
         """Once every box is accounted for, what was not found runs nowhere."""
-        if self._in_doubt():
+        if self._reconciling():
             return
-        doubts, self.doubts = self.doubts, set()
-        for name in sorted(doubts):
+        uncertain, self.uncertain = self.uncertain, set()
+        for name in sorted(uncertain):
             found = jobs.find_task(name)
             if found is not None and not found[1].ended:
-                self.push(*found)
+                self.enqueue(*found)
--- a/src/granitetrestle/capacity.py
+++ b/src/granitetrestle/capacity.py
@@ -13,7 +13,7 @@
 
 __all__ = ["Assignment", "BoxState", "CapacityIndex", "Vector"]
 
-EPSILON: t.Final = 1e-9
+ROUNDING_TOLERANCE: t.Final = 1e-9
 
 
 class Vector(t.NamedTuple):
@@ -23,12 +23,12 @@
     memory_gb: float
     accelerators: int
 
-    def fits(self, room: "Vector") -> bool:
-        """Say whether this amount can be taken out of ``room``."""
+    def fits(self, available: "Vector") -> bool:
+        """Say whether this amount can be taken out of ``available``."""
         return (
-            self.cores <= room.cores + EPSILON
-            and self.memory_gb <= room.memory_gb + EPSILON
-            and self.accelerators <= room.accelerators
+            self.cores <= available.cores + ROUNDING_TOLERANCE
+            and self.memory_gb <= available.memory_gb + ROUNDING_TOLERANCE
+            and self.accelerators <= available.accelerators
         )
 
     def plus(self, other: "Vector", sign: int = 1) -> "Vector":
@@ -39,7 +39,7 @@
             self.accelerators + sign * other.accelerators,
         )
 
-    def share_of(self, total: "Vector") -> float:
+    def dominant_share(self, total: "Vector") -> float:
         """Return the dominant share of ``total``, 0 to 1."""
         return max(
             self.cores / total.cores if total.cores else 0.0,
@@ -53,7 +53,7 @@
         return cls(spec.cores, spec.memory_gb, spec.accelerators)
 
 
-NOTHING: t.Final = Vector(0.0, 0.0, 0)
+NO_RESOURCES: t.Final = Vector(0.0, 0.0, 0)
 
 AssignmentState: t.TypeAlias = t.Literal[
     "starting", "running", "draining", "stopping", "evicting", "ending"
@@ -97,13 +97,13 @@
     tasks: dict[str, Assignment] = dataclasses.field(default_factory=dict)
     starts: dict[str, Assignment] = dataclasses.field(default_factory=dict)
     cleanup: dict[tuple[str, int], Command] = dataclasses.field(default_factory=dict)
-    in_exchange: bool = False
-    next_exchange: float = 0.0
-    heard_wall: float = 0.0
-    silent_wall: float = 0.0
+    exchange_in_flight: bool = False
+    next_exchange_at: float = 0.0
+    last_report_wall: float = 0.0
+    last_failure_wall: float = 0.0
     drained: bool = False
     evacuated: bool = False
-    settled: bool = False
+    reconciled: bool = False
     quarantined_until: float = 0.0
     failures_in_row: int = 0
     failed_accounts: set[str] = dataclasses.field(default_factory=set)
@@ -111,12 +111,12 @@
     @property
     def silent(self) -> bool:
         """Whether the last exchange that ended got no answer."""
-        return self.silent_wall > self.heard_wall
+        return self.last_failure_wall > self.last_report_wall
 
     def open_for_work(self, now: float) -> bool:
         """Say whether new tasks may be placed here."""
         closed = self.drained or self.evacuated or self.info.leaving
-        unknown = not self.settled or self.silent
+        unknown = not self.reconciled or self.silent
         return not closed and not unknown and now >= self.quarantined_until
 
     @property
@@ -137,7 +137,7 @@
         self._boxes: dict[str, BoxState] = {}
         self._levels: dict[int, dict[str, BoxState]] = {}
         self._top = 0
-        self._total = NOTHING
+        self._total = NO_RESOURCES
         self._racks: dict[str, dict[str, int]] = {}
 
     @property
@@ -150,7 +150,7 @@
         """What all indexed boxes have."""
         return self._total
 
-    def racks_of(self, job: str) -> t.Mapping[str, int]:
+    def tasks_per_rack(self, job: str) -> t.Mapping[str, int]:
         """Return rack -> how many tasks of ``job`` it holds."""
         return self._racks.get(job, {})
 
@@ -158,7 +158,7 @@
         """Index a box that is not indexed yet."""
         self._boxes[box.info.box] = box
         self._total = self._total.plus(box.total)
-        self._enter(box)
+        self._add_to_level(box)
 
     def remove(self, name: str) -> None:
         """Drop a box and all that was booked on it."""
@@ -167,9 +167,9 @@
             self.release(box, task)
         del self._boxes[name]
         self._total = self._total.plus(box.total, -1)
-        self._leave(box)
+        self._remove_from_level(box)
 
-    def take(self, box: BoxState, assignment: Assignment) -> None:
+    def reserve(self, box: BoxState, assignment: Assignment) -> None:
         """Book an attempt that this process decided to start.
 
         :raises InvariantViolated: if the box has not enough left (promise 1).
@@ -182,18 +182,18 @@
         """Book an attempt that already runs, even if the box is now too full."""
         if assignment.task in box.tasks:
             raise InvariantViolated(f"{assignment.task} is booked twice")
-        self._leave(box)
+        self._remove_from_level(box)
         box.tasks[assignment.task] = assignment
         box.free = box.free.plus(Vector.of(assignment.spec), -1)
-        self._enter(box)
+        self._add_to_level(box)
         self._count_rack(box, assignment.job, 1)
 
     def release(self, box: BoxState, task: str) -> Assignment:
         """Give back what a task that provably stopped had taken."""
-        self._leave(box)
+        self._remove_from_level(box)
         assignment = box.tasks.pop(task)
         box.free = box.free.plus(Vector.of(assignment.spec))
-        self._enter(box)
+        self._add_to_level(box)
         self._count_rack(box, assignment.job, -1)
         return assignment
 
@@ -215,7 +215,7 @@
         :param spread: from the emptiest down, instead of the fullest up.
         """
         found: list[BoxState] = []
-        lowest = math.floor(need.cores + EPSILON)
+        lowest = math.floor(need.cores + ROUNDING_TOLERANCE)
         levels: t.Iterable[int] = range(lowest, self._top + 1)
         for level in reversed(range(lowest, self._top + 1)) if spread else levels:
             for box in self._levels.get(level, {}).values():
@@ -225,13 +225,13 @@
                         return found
         return found
 
-    def _level(self, box: BoxState) -> int:
-        return max(-1, math.floor(box.free.cores + EPSILON))
+    def _level_of(self, box: BoxState) -> int:
+        return max(-1, math.floor(box.free.cores + ROUNDING_TOLERANCE))
 
-    def _enter(self, box: BoxState) -> None:
-        level = self._level(box)
+    def _add_to_level(self, box: BoxState) -> None:
+        level = self._level_of(box)
         self._top = max(self._top, level)
         self._levels.setdefault(level, {})[box.info.box] = box
 
-    def _leave(self, box: BoxState) -> None:
-        self._levels[self._level(box)].pop(box.info.box, None)
+    def _remove_from_level(self, box: BoxState) -> None:
+        self._levels[self._level_of(box)].pop(box.info.box, None)
--- a/src/granitetrestle/fairqueue.py
+++ b/src/granitetrestle/fairqueue.py
@@ -9,8 +9,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Line:
-    tag: float = 0.0
+class _AccountQueue:
+    start_tag: float = 0.0
     requests: "collections.OrderedDict[str, None]" = dataclasses.field(
         default_factory=collections.OrderedDict
     )
@@ -20,7 +20,7 @@
     """The line of one service: start-time fair queueing over accounts."""
 
     def __init__(self) -> None:
-        self._lines: dict[str, _Line] = {}
+        self._queues: dict[str, _AccountQueue] = {}
         self._virtual = 0.0
         self._length = 0
 
@@ -29,26 +29,26 @@
 
     def waiting(self, account: str) -> int:
         """Return how many requests of an account wait."""
-        line = self._lines.get(account)
-        return len(line.requests) if line else 0
+        queue = self._queues.get(account)
+        return len(queue.requests) if queue else 0
 
     def push(self, account: str, request: str) -> None:
         """Add a request at the end of its account's line."""
-        line = self._lines.get(account)
-        if line is None:
-            line = self._lines[account] = _Line(tag=self._virtual)
-        line.requests[request] = None
+        queue = self._queues.get(account)
+        if queue is None:
+            queue = self._queues[account] = _AccountQueue(start_tag=self._virtual)
+        queue.requests[request] = None
         self._length += 1
 
     def discard(self, account: str, request: str) -> bool:
         """Take a request out; says whether it waited."""
-        line = self._lines.get(account)
-        if line is None or request not in line.requests:
+        queue = self._queues.get(account)
+        if queue is None or request not in queue.requests:
             return False
-        del line.requests[request]
+        del queue.requests[request]
         self._length -= 1
-        if not line.requests:
-            del self._lines[account]
+        if not queue.requests:
+            del self._queues[account]
         return True
 
     def pop(
@@ -59,27 +59,27 @@
         :param weight: account -> weight from the table.
         :param allowed: account -> whether it may have one more in flight.
         """
-        ready = [(line.tag, name) for name, line in self._lines.items()]
-        for tag, account in sorted(ready):
+        ready = [(queue.start_tag, name) for name, queue in self._queues.items()]
+        for start_tag, account in sorted(ready):
             if not allowed(account):
                 continue
-            line = self._lines[account]
-            request, _ = line.requests.popitem(last=False)
+            queue = self._queues[account]
+            request, _ = queue.requests.popitem(last=False)
             self._length -= 1
-            self._virtual = max(self._virtual, tag)
-            line.tag = max(tag, self._virtual) + 1.0 / weight(account)
-            if not line.requests:
-                del self._lines[account]
+            self._virtual = max(self._virtual, start_tag)
+            queue.start_tag = max(start_tag, self._virtual) + 1.0 / weight(account)
+            if not queue.requests:
+                del self._queues[account]
             return request
         return None
 
-    def share_ahead(self, account: str, weight: t.Callable[[str], float]) -> float:
+    def requests_ahead(self, account: str, weight: t.Callable[[str], float]) -> float:
         """Return how many requests go before a new one of ``account``."""
         own = self.waiting(account)
-        mine = weight(account)
+        own_weight = weight(account)
         ahead = float(own)
-        for other, line in self._lines.items():
+        for other, queue in self._queues.items():
             if other != account:
-                fair = (own + 1) * weight(other) / mine
-                ahead += min(len(line.requests), fair)
+                fair = (own + 1) * weight(other) / own_weight
+                ahead += min(len(queue.requests), fair)
         return ahead
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -89,7 +89,7 @@
         for book in self._books.values():
             book.set_evacuated(evacuated)
 
-    def shard_won(
+    def open_shard(
         self, shard: int, before: ShardState, now: float, wall: float
     ) -> list[Effect]:
         """Open a book for a shard whose claim this process won."""
@@ -104,26 +104,26 @@
         book = ShardBook(shard, state.epoch, quiet, ends)
         book.evacuated = self._evacuated
         self._books[shard] = book
-        self._enter_list(book)
-        book.open_jobs(self._jobs)
+        self._apply_box_list(book)
+        book.load_jobs(self._jobs)
         if before.epoch == 0:
-            book.quiet_wall = 0.0
-        doubts = f"{len(book.doubts)} tasks in doubt, {len(book.waiting)} waiting"
-        return [Note("shard_won", f"shard {shard}", doubts, state.epoch)]
+            book.old_starts_expired_wall = 0.0
+        uncertain = f"{len(book.uncertain)} tasks in doubt, {len(book.waiting)} waiting"
+        return [Note("shard_won", f"shard {shard}", uncertain, state.epoch)]
 
-    def shard_lost(self, shard: int) -> list[Effect]:
+    def close_shard(self, shard: int) -> list[Effect]:
         """Close the book; the boxes keep what runs until its leases lapse."""
         if self._books.pop(shard, None) is None:
             return []
         return [Note("shard_lost", f"shard {shard}")]
 
-    def boxes_listed(self, boxes: t.Sequence[BoxInfo]) -> None:
+    def update_boxes(self, boxes: t.Sequence[BoxInfo]) -> None:
         """Take up a reading of the platform's list."""
         self._listed = {info.box: info for info in boxes}
         for book in self._books.values():
-            self._enter_list(book)
+            self._apply_box_list(book)
 
-    def _enter_list(self, book: ShardBook) -> None:
+    def _apply_box_list(self, book: ShardBook) -> None:
         if self._listed is None:
             return
         for info in self._listed.values():
@@ -137,15 +137,15 @@
         gone = [n for n, b in book.index.boxes.items() if self._is_gone(n, b)]
         for name in gone:
             book.index.remove(name)
-            book.starting.discard(name)
-            book.unheard.discard(name)
+            book.boxes_with_starts.discard(name)
+            book.unreconciled.discard(name)
         book.listed = True
         book.dirty = True
-        book.settle_doubts(self._jobs)
+        book.resolve_uncertain(self._jobs)
 
     def _is_gone(self, name: str, box: BoxState) -> bool:
         assert self._listed is not None
-        return name not in self._listed and not box.tasks and not box.in_exchange
+        return name not in self._listed and not box.tasks and not box.exchange_in_flight
 
     def box_drained(self, box: str, drained: bool) -> None:
         """Apply an operator's drain."""
@@ -168,7 +168,7 @@
         if book is None:
             return
         for task in job.tasks.values():
-            book.enter_task(job, task)
+            book.add_task(job, task)
 
     def job_cancelled(self, job: Job) -> list[Effect]:
         """Stop what runs of a job, and end what has not begun."""
@@ -181,7 +181,7 @@
         facts: list[AttemptEnded] = []
         for task in job.tasks.values():
             if book.waiting.discard(task.task):
-                facts.append(self._ended(book, task.task, task.attempt, "cancelled"))
+                facts.append(self._end_fact(book, task.task, task.attempt, "cancelled"))
                 continue
             assignment = self._assignment(book, task.task)
             if assignment is not None and assignment.state != "ending":
@@ -192,7 +192,7 @@
         return [AppendFacts(self._stream, tuple(facts), f"cancel/{job.job}")]
 
     def _assignment(self, book: ShardBook, task: str) -> Assignment | None:
-        name = book.where.get(task)
+        name = book.box_of_task.get(task)
         return book.index.boxes[name].tasks[task] if name is not None else None
 
     def task_ended(
@@ -202,20 +202,18 @@
         book = self._books.get(job.shard)
         if book is None:
             return []
-        name = book.where.get(task.task)
+        name = book.box_of_task.get(task.task)
         assignment = book.unbook(task.task)
         if assignment is not None and name is not None:
-            self._order_cleanup(
-                book.index.boxes[name], task.task, fact.attempt, "forget"
-            )
+            self._add_cleanup(book.index.boxes[name], task.task, fact.attempt, "forget")
             update_quarantine(book.index.boxes[name], job.account, fact.ending, now)
-        book.doubts.discard(task.task)
-        book.evicting_for.pop(task.task, None)
+        book.uncertain.discard(task.task)
+        book.eviction_deadlines.pop(task.task, None)
         if not task.ended:
-            book.push(job, task)
+            book.enqueue(job, task)
         return [Note("attempt_ended", fact.task, fact.ending, fact.epoch)]
 
-    def _order_cleanup(
+    def _add_cleanup(
         self,
         box: BoxState,
         task: str,
@@ -224,7 +222,7 @@
     ) -> None:
         box.cleanup[(task, attempt)] = Command(op, task, attempt, 0)
 
-    def _ended(
+    def _end_fact(
         self,
         book: ShardBook,
         task: str,
@@ -242,7 +240,7 @@
         checkpoint: str = "",
     ) -> Effect:
         assignment.state = "ending"
-        fact = self._ended(
+        fact = self._end_fact(
             book, assignment.task, assignment.attempt, ending, checkpoint
         )
         name = f"end/{assignment.task}/{assignment.attempt}"
@@ -251,9 +249,9 @@
     @staticmethod
     def exchange_due(box: BoxState, now: float) -> bool:
         """Say whether an exchange with ``box`` should leave now."""
-        if box.in_exchange:
+        if box.exchange_in_flight:
             return False
-        return bool(box.starts and not box.silent) or now >= box.next_exchange
+        return bool(box.starts and not box.silent) or now >= box.next_exchange_at
 
     def exchange(
         self, book: ShardBook, box: BoxState, now: float, wall: float
@@ -264,8 +262,8 @@
         commands += self._starts(book, box, now, wall)
         if now < self._ownership.term_ends() + self._parameters.orphan_s:
             commands += self._renewals(book, box, wall)
-        box.in_exchange = True
-        box.next_exchange = now + self._parameters.exchange_s
+        box.exchange_in_flight = True
+        box.next_exchange_at = now + self._parameters.exchange_s
         return CommandBox(box.info.box, box.info.address, tuple(commands))
 
     def _starts(
@@ -274,12 +272,12 @@
         starts, box.starts = box.starts, {}
         if not starts:
             return []
-        left = self._ownership.right_ends(book.shard, now) - now
-        if left <= 0.0 or book.evacuated:
+        remaining_s = self._ownership.right_ends(book.shard, now) - now
+        if remaining_s <= 0.0 or book.evacuated:
             for assignment in starts.values():
-                self._start_unsent(book, assignment)
+                self._requeue_start(book, assignment)
             return []
-        not_after = wall + min(self._parameters.start_window_s, left)
+        not_after = wall + min(self._parameters.start_window_s, remaining_s)
         commands = []
         for assignment in starts.values():
             assignment.not_after = not_after
@@ -300,11 +298,11 @@
             checkpoint=found[1].checkpoint if found else "",
         )
 
-    def _start_unsent(self, book: ShardBook, assignment: Assignment) -> None:
+    def _requeue_start(self, book: ShardBook, assignment: Assignment) -> None:
         book.unbook(assignment.task)
         found = self._jobs.find_task(assignment.task)
         if found is not None and not found[1].ended:
-            book.push(*found)
+            book.enqueue(*found)
 
     def _renewals(self, book: ShardBook, box: BoxState, wall: float) -> list[Command]:
         commands: list[Command] = []
@@ -317,10 +315,10 @@
             else:
                 op = "checkpoint" if assignment.state == "evicting" else "renew"
                 assignment.expires = max(assignment.expires, expires)
-            order = Command(
+            command = Command(
                 op, assignment.task, assignment.attempt, book.epoch, expires=expires
             )
-            commands.append(order)
+            commands.append(command)
         return commands
 
     def box_answered(self, event: BoxAnswered) -> list[Effect]:
@@ -329,9 +327,9 @@
         if book is None:
             return []
         box = book.index.boxes[event.box]
-        box.in_exchange = False
+        box.exchange_in_flight = False
         book.dirty |= box.silent
-        box.heard_wall = event.sent_wall
+        box.last_report_wall = event.sent_wall
         if any(report.epoch > book.epoch for report in event.report.tasks):
             # A newer owner works here already; the log will tell us so.
             book.superseded = True
@@ -341,18 +339,18 @@
         seen: set[tuple[str, int]] = set()
         for report in event.report.tasks:
             seen.add((report.task, report.attempt))
-            effects += self._reported(book, box, report, event.wall)
+            effects += self._apply_report(book, box, report, event.wall)
         for assignment in list(box.tasks.values()):
             if (assignment.task, assignment.attempt) not in seen:
-                effects += self._missing(book, assignment, event.sent_wall)
-        book.heard(event.box, event.sent_wall, self._jobs)
+                effects += self._handle_missing(book, assignment, event.sent_wall)
+        book.record_report(event.box, event.sent_wall, self._jobs)
         return effects
 
     def _book_of(self, box: str) -> ShardBook | None:
         book = self._books.get(shard_of(box, self._shards))
         return book if book is not None and box in book.index.boxes else None
 
-    def _reported(
+    def _apply_report(
         self, book: ShardBook, box: BoxState, report: TaskReport, wall: float
     ) -> list[Effect]:
         if report.state == "finished" and report.task in book.waiting:
@@ -377,7 +375,7 @@
         waiting = book.waiting.find(report.task)
         assert waiting is not None
         book.waiting.discard(report.task)
-        fact = self._ended(book, report.task, waiting.attempt, "finished")
+        fact = self._end_fact(book, report.task, waiting.attempt, "finished")
         name = f"end/{report.task}/{waiting.attempt}"
         return AppendFacts(self._stream, (fact,), name)
 
@@ -389,10 +387,10 @@
             op: t.Literal["stop", "forget"] = "forget"
             if report.state == "running":
                 op = "stop"
-            self._order_cleanup(box, report.task, report.attempt, op)
+            self._add_cleanup(box, report.task, report.attempt, op)
             return None
         job, task = found
-        if task.task in book.where or task.task in book.waiting:
+        if task.task in book.box_of_task or task.task in book.waiting:
             raise InvariantViolated(f"{task.task} runs in two places")
         assignment = Assignment(
             task.task,
@@ -419,7 +417,7 @@
             return False
         return task.attempt == report.attempt
 
-    def _missing(
+    def _handle_missing(
         self, book: ShardBook, assignment: Assignment, sent_wall: float
     ) -> list[Effect]:
         if assignment.state == "ending":
@@ -431,7 +429,7 @@
             return [self._record_end(book, assignment, ending)]
         dead_on_arrival = assignment.not_after + self._parameters.clock_margin_s
         if assignment.not_after and sent_wall > dead_on_arrival:
-            self._start_unsent(book, assignment)
+            self._requeue_start(book, assignment)
         return []
 
     def box_failed(self, event: BoxFailed) -> None:
@@ -440,8 +438,8 @@
         if book is None:
             return
         box = book.index.boxes[event.box]
-        box.in_exchange = False
-        box.silent_wall = max(box.silent_wall, event.sent_wall)
+        box.exchange_in_flight = False
+        box.last_failure_wall = max(box.last_failure_wall, event.sent_wall)
         if not event.unsent:
             return
         for command in event.commands:
@@ -449,29 +447,29 @@
             if command.op != "start" or assignment is None:
                 continue
             if assignment.attempt == command.attempt:
-                self._start_unsent(book, assignment)
+                self._requeue_start(book, assignment)
 
-    def lapse(self, book: ShardBook, wall: float) -> list[Effect]:
+    def end_lapsed(self, book: ShardBook, wall: float) -> list[Effect]:
         """End what a silent box must have dropped, its leases having lapsed."""
-        effects = self._lapse_doubts(book, wall)
+        effects = self._end_lapsed_uncertain(book, wall)
         for box in book.index.boxes.values():
             for assignment in box.tasks.values():
                 if self._has_lapsed(assignment, box):
                     effects.append(self._record_end(book, assignment, "lost"))
         return effects
 
-    def _lapse_doubts(self, book: ShardBook, wall: float) -> list[Effect]:
+    def _end_lapsed_uncertain(self, book: ShardBook, wall: float) -> list[Effect]:
         """End what silent boxes may have run: every older lease has lapsed.
 
         The attempt is ended on the log, so that a box that comes back with its
         result can be told from the attempt that follows.
         """
-        if not book.doubts or wall < book.doubt_ends_wall:
+        if not book.uncertain or wall < book.old_leases_expired_wall:
             return []
-        doubts, book.doubts = book.doubts, set()
+        uncertain, book.uncertain = book.uncertain, set()
         facts = [
-            self._ended(book, name, found[1].attempt, "lost")
-            for name in sorted(doubts)
+            self._end_fact(book, name, found[1].attempt, "lost")
+            for name in sorted(uncertain)
             if (found := self._jobs.find_task(name)) and not found[1].ended
         ]
         if not facts:
@@ -486,4 +484,6 @@
         """
         if assignment.state == "ending" or assignment.expires == 0.0:
             return False
-        return box.silent_wall > assignment.expires + self._parameters.clock_margin_s
+        return (
+            box.last_failure_wall > assignment.expires + self._parameters.clock_margin_s
+        )
--- a/src/granitetrestle/policy.py
+++ b/src/granitetrestle/policy.py
@@ -10,13 +10,13 @@
 from .capacity import Vector
 from .records import JobSpec
 
-__all__ = ["FirstFit", "Policy", "RackSpread", "Verdict"]
+__all__ = ["FirstFit", "Policy", "RackSpread", "BoxChoice"]
 
-CANDIDATES = 12
-EVICTION_CANDIDATES = 16
+MAX_CANDIDATES = 12
+MIN_EVICTION_CANDIDATES = 16
 
 
-class Verdict(t.NamedTuple):
+class BoxChoice(t.NamedTuple):
     """A chosen box, the tasks that must yield first, and why."""
 
     box: str
@@ -30,58 +30,60 @@
     @abc.abstractmethod
     def choose(
         self, spec: JobSpec, job: str, index: CapacityIndex, now: float
-    ) -> Verdict | None:
+    ) -> BoxChoice | None:
         """Return a box with room, or ``None`` if there is none."""
 
-    def make_room(
+    def choose_evictions(
         self,
         spec: JobSpec,
         index: CapacityIndex,
         now: float,
         cost: t.Callable[[str], float],
-    ) -> Verdict | None:
+    ) -> BoxChoice | None:
         """Return the box where the cheapest batch tasks can yield.
 
         :param cost: account -> harm of evicting one of its tasks.
         """
-        best: tuple[float, Verdict] | None = None
-        looked = 0
+        best: tuple[float, BoxChoice] | None = None
+        checked = 0
         for box in index.boxes.values():
             if not box.open_for_work(now) or not box.tasks:
                 continue
-            looked += 1
-            found = _victims(spec, box, cost)
+            checked += 1
+            found = _cheapest_evictions(spec, box, cost)
             if found is not None and (best is None or found[0] < best[0]):
                 best = found
-            if looked >= EVICTION_CANDIDATES and best is not None:
+            if checked >= MIN_EVICTION_CANDIDATES and best is not None:
                 break
         return best[1] if best else None
 
 
-def _victims(
+def _cheapest_evictions(
     spec: JobSpec, box: BoxState, cost: t.Callable[[str], float]
-) -> tuple[float, Verdict] | None:
-    room = box.free
+) -> tuple[float, BoxChoice] | None:
+    available = box.free
     need = Vector.of(spec)
     if not need.fits(box.total):
         return None
-    able = [
+    evictable = [
         a
         for a in box.tasks.values()
         if a.spec.kind == "batch" and not a.spec.urgent and a.state == "running"
     ]
-    able.sort(key=lambda a: (cost(a.account), -a.spec.cores, a.task))
-    harm = 0.0
-    chosen: list[str] = []
-    for assignment in able:
-        if need.fits(room):
+    evictable.sort(key=lambda a: (cost(a.account), -a.spec.cores, a.task))
+    total_cost = 0.0
+    victims: list[str] = []
+    for assignment in evictable:
+        if need.fits(available):
             break
-        room = room.plus(Vector.of(assignment.spec))
-        harm += cost(assignment.account)
-        chosen.append(assignment.task)
-    if not need.fits(room) or not chosen:
+        available = available.plus(Vector.of(assignment.spec))
+        total_cost += cost(assignment.account)
+        victims.append(assignment.task)
+    if not need.fits(available) or not victims:
         return None
-    return harm, Verdict(box.info.box, tuple(chosen), f"evicting costs {harm:g}")
+    return total_cost, BoxChoice(
+        box.info.box, tuple(victims), f"evicting costs {total_cost:g}"
+    )
 
 
 class FirstFit(Policy):
@@ -89,10 +91,10 @@
 
     def choose(
         self, spec: JobSpec, job: str, index: CapacityIndex, now: float
-    ) -> Verdict | None:
+    ) -> BoxChoice | None:
         """Return the fullest box with room."""
         found = index.candidates(Vector.of(spec), now, 1, spread=False)
-        return Verdict(found[0].info.box, (), "first fit") if found else None
+        return BoxChoice(found[0].info.box, (), "first fit") if found else None
 
 
 class RackSpread(Policy):
@@ -100,21 +102,23 @@
 
     def choose(
         self, spec: JobSpec, job: str, index: CapacityIndex, now: float
-    ) -> Verdict | None:
+    ) -> BoxChoice | None:
         """Return the box with the fewest neighbours that matter to the task."""
         service = spec.kind == "service"
-        found = index.candidates(Vector.of(spec), now, CANDIDATES, spread=service)
+        found = index.candidates(Vector.of(spec), now, MAX_CANDIDATES, spread=service)
         if not found:
             return None
         if not service:
-            box = min(found, key=lambda b: (_services(b), b.free.cores))
-            return Verdict(box.info.box, (), f"{_services(box)} services beside it")
-        racks = index.racks_of(job)
+            box = min(found, key=lambda b: (_service_count(b), b.free.cores))
+            return BoxChoice(
+                box.info.box, (), f"{_service_count(box)} services beside it"
+            )
+        racks = index.tasks_per_rack(job)
         box = min(found, key=lambda b: (racks.get(b.info.rack, 0), _batch_cores(b)))
-        return Verdict(box.info.box, (), f"rack {box.info.rack} has fewest replicas")
+        return BoxChoice(box.info.box, (), f"rack {box.info.rack} has fewest replicas")
 
 
-def _services(box: BoxState) -> int:
+def _service_count(box: BoxState) -> int:
     return sum(a.spec.kind == "service" for a in box.tasks.values())
 
 
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -66,7 +66,7 @@
 __all__ = ["CONFIG_STREAM", "Reducer", "Setup", "hall_stream"]
 
 CONFIG_STREAM: t.Final = "config"
-RECLAIM_S = 1.0
+CLAIM_RETRY_INTERVAL_S = 1.0
 
 
 class Reducer:
@@ -81,9 +81,9 @@
         self._jobs = Jobs()
         self._offsets: dict[str, int] = {}
         self._writers: dict[str, dict[str, int]] = {}
-        self._tail_seen: set[str] = set()
+        self._streams_at_tail: set[str] = set()
         self._snapshot_at: dict[str, tuple[int, float]] = {}
-        self._claimed: dict[int, tuple[int, float]] = {}
+        self._claims_sent: dict[int, tuple[int, float]] = {}
         self._ownership = Ownership(
             setup.node,
             setup.incarnation,
@@ -195,7 +195,7 @@
     @property
     def ready(self) -> bool:
         """Whether callers should be sent here: both streams were read once."""
-        read = {self._stream, CONFIG_STREAM} <= self._tail_seen
+        read = {self._stream, CONFIG_STREAM} <= self._streams_at_tail
         return read and not self._stopping
 
     @property
@@ -217,32 +217,32 @@
         self._wall = event.wall
         effects = self._requests.tick(now)
         effects += self._submissions.tick(now)
-        if self._stream in self._tail_seen:
+        if self._stream in self._streams_at_tail:
             offset = self._table.offset
             effects += self._heartbeat.tick(now, offset, self._stopping)
-            effects += self._claims(now)
-        heirs = [n for n in self._ownership.live(now) if n != self._setup.node]
-        effects += self._owner.tick(now, event.wall, heirs)
+            effects += self._send_claims(now)
+        successors = [n for n in self._ownership.live(now) if n != self._setup.node]
+        effects += self._owner.tick(now, event.wall, successors)
         effects += self._borrower.asks(self._ownership, self._requests.demand, now)
-        effects += self._digests(now, event.wall)
-        effects += self._snapshots(now)
+        effects += self._send_digests(now, event.wall)
+        effects += self._write_due_snapshots(now)
         self._ownership.forget_old(now)
         return effects
 
-    def _claims(self, now: float) -> list[Effect]:
+    def _send_claims(self, now: float) -> list[Effect]:
         if self._stopping:
             return []
         effects: list[Effect] = []
         for claim in self._ownership.claims_due(now):
-            epoch, at = self._claimed.get(claim.shard, (-1, 0.0))
-            if epoch == claim.previous_epoch and now - at < RECLAIM_S:
+            epoch, at = self._claims_sent.get(claim.shard, (-1, 0.0))
+            if epoch == claim.previous_epoch and now - at < CLAIM_RETRY_INTERVAL_S:
                 continue
-            self._claimed[claim.shard] = (claim.previous_epoch, now)
+            self._claims_sent[claim.shard] = (claim.previous_epoch, now)
             name = f"claim/{claim.shard}"
             effects.append(AppendFacts(self._stream, (claim,), name, latest_only=True))
         return effects
 
-    def _digests(self, now: float, wall: float) -> list[Effect]:
+    def _send_digests(self, now: float, wall: float) -> list[Effect]:
         if self._ownership.gatherer(now) != self._setup.node:
             return []
         if not self._halls.due(now):
@@ -271,12 +271,12 @@
     def _log_read(self, event: LogRead) -> list[Effect]:
         effects: list[Effect] = []
         for record in event.records:
-            effects += self._record(event.stream, record, event.now)
+            effects += self._apply_record(event.stream, record, event.now)
         self._offsets[event.stream] = event.next_offset
         if event.stream == CONFIG_STREAM:
             self._table.advance(event.next_offset - 1)
         if event.tail:
-            self._tail_seen.add(event.stream)
+            self._streams_at_tail.add(event.stream)
             if event.stream == self._stream:
                 self._ownership.read_reached_tail(event.now)
         return effects
@@ -308,22 +308,22 @@
             for shard in self._ownership.owned()
         ]
 
-    def _snapshots(self, now: float) -> list[Effect]:
+    def _write_due_snapshots(self, now: float) -> list[Effect]:
         """Write snapshots well before the log drops what they cover."""
         if self._ownership.gatherer(now) != self._setup.node:
             return []
-        effects = self._snapshot(self._stream, now)
+        effects = self._write_if_due(self._stream, now)
         if self._halls.first_reachable(now) == self._setup.hall:
-            effects += self._snapshot(CONFIG_STREAM, now)
+            effects += self._write_if_due(CONFIG_STREAM, now)
         return effects
 
     def write_snapshots_now(self) -> None:
         """Let the next tick write snapshots, if this process is to write them."""
-        for stream in self._tail_seen:
+        for stream in self._streams_at_tail:
             self._snapshot_at[stream] = (0, -1e18)
 
-    def _snapshot(self, stream: str, now: float) -> list[Effect]:
-        if stream not in self._tail_seen:
+    def _write_if_due(self, stream: str, now: float) -> list[Effect]:
+        if stream not in self._streams_at_tail:
             return []
         upto = self._offsets[stream] - 1
         last, at = self._snapshot_at.setdefault(stream, (0, now))
@@ -350,30 +350,30 @@
             self._owner.placement.evacuated,
         )
 
-    def _record(self, stream: str, record: LogRecord, now: float) -> list[Effect]:
+    def _apply_record(self, stream: str, record: LogRecord, now: float) -> list[Effect]:
         if not note_batch(self._writers.setdefault(stream, {}), record.batch):
             return []
         effects: list[Effect] = []
         for fact in record.batch.facts:
-            effects += self._fact(record.offset, fact, now)
+            effects += self._apply_fact(record.offset, fact, now)
         return effects
 
-    def _fact(self, offset: int, fact: Fact, now: float) -> list[Effect]:
+    def _apply_fact(self, offset: int, fact: Fact, now: float) -> list[Effect]:
         match fact:
             case Renewed():
                 self._ownership.apply_renewed(offset, fact, now)
                 self._heartbeat.read_back(fact.beats)
                 return []
             case AttemptEnded():
-                return self._attempt_ended(offset, fact, now)
+                return self._apply_attempt_end(offset, fact, now)
             case JobSubmitted():
-                return self._submitted(offset, fact)
+                return self._apply_submission(offset, fact)
             case JobCancelled():
-                return self._cancelled(offset, fact)
+                return self._apply_cancellation(offset, fact)
             case ShardClaimed():
-                return self._claimed_on_log(offset, fact, now)
+                return self._apply_claim(offset, fact, now)
             case ShardReleased():
-                return self._released_on_log(offset, fact)
+                return self._apply_release(offset, fact)
             case TableEdited():
                 outcome = self._table.apply(offset, fact)
                 return self._submissions.read_back(fact.request, outcome)
@@ -389,7 +389,7 @@
     def _read_back(self, request: str, subject: str, offset: int) -> list[Effect]:
         return self._submissions.read_back(request, Accepted(subject, offset))
 
-    def _attempt_ended(
+    def _apply_attempt_end(
         self, offset: int, fact: AttemptEnded, now: float
     ) -> list[Effect]:
         shard = self._ownership.shards.get(fact.shard)
@@ -403,13 +403,13 @@
             return []
         return self._owner.placement.task_ended(job, task, fact, now)
 
-    def _submitted(self, offset: int, fact: JobSubmitted) -> list[Effect]:
+    def _apply_submission(self, offset: int, fact: JobSubmitted) -> list[Effect]:
         job = self._jobs.apply_submitted(offset, fact)
         if job is not None:
             self._owner.placement.job_submitted(job)
         return self._submissions.read_back(fact.request, Accepted(fact.job, offset))
 
-    def _cancelled(self, offset: int, fact: JobCancelled) -> list[Effect]:
+    def _apply_cancellation(self, offset: int, fact: JobCancelled) -> list[Effect]:
         job = self._jobs.apply_cancelled(fact)
         effects: list[Effect] = []
         if job is not None:
@@ -417,9 +417,7 @@
         done = Accepted(fact.job, offset)
         return effects + self._submissions.read_back(fact.request, done)
 
-    def _claimed_on_log(
-        self, offset: int, fact: ShardClaimed, now: float
-    ) -> list[Effect]:
+    def _apply_claim(self, offset: int, fact: ShardClaimed, now: float) -> list[Effect]:
         before = self._ownership.shards.get(fact.shard)
         if before is None or not self._ownership.apply_claim(offset, fact, now):
             return []
@@ -428,7 +426,7 @@
             effects += self._owner.won(fact.shard, before, now, self._wall)
         return effects
 
-    def _released_on_log(self, offset: int, fact: ShardReleased) -> list[Effect]:
+    def _apply_release(self, offset: int, fact: ShardReleased) -> list[Effect]:
         if not self._ownership.apply_released(offset, fact):
             return []
         return self._owner.lost(fact.shard)
@@ -469,7 +467,7 @@
         return [SendPeer(event.sender, answer)] if answer is not None else []
 
     def _boxes_listed(self, event: ev.BoxListRead) -> list[Effect]:
-        self._owner.placement.boxes_listed(event.boxes)
+        self._owner.placement.update_boxes(event.boxes)
         return []
 
     def _box_answered(self, event: ev.BoxAnswered) -> list[Effect]:
--- a/src/granitetrestle/requests.py
+++ b/src/granitetrestle/requests.py
@@ -265,7 +265,7 @@
         self, queue: FairQueue, event: RequestArrived, now: float
     ) -> float:
         slots = max(1, self._borrower.slots(event.service, now))
-        ahead = queue.share_ahead(event.account, self._weight)
+        ahead = queue.requests_ahead(event.account, self._weight)
         mean_s = self._service_s.get(event.service, FIRST_GUESS_S)
         return (ahead + 1.0) * mean_s / slots
 
--- a/src/granitetrestle/shards.py
+++ b/src/granitetrestle/shards.py
@@ -79,7 +79,7 @@
         self, shard: int, before: ShardState, now: float, wall: float
     ) -> list[Effect]:
         """Open all that goes with an epoch that this process won."""
-        effects = self._placement.shard_won(shard, before, now, wall)
+        effects = self._placement.open_shard(shard, before, now, wall)
         epoch = self._ownership.shards[shard].epoch
         locked = now
         if before.epoch:
@@ -101,7 +101,7 @@
         self._lenders.pop(shard, None)
         self._keys.pop(shard, None)
         self._before.pop(shard, None)
-        return self._placement.shard_lost(shard)
+        return self._placement.close_shard(shard)
 
     def give_up(self, shard: int, epoch: int) -> Effect:
         """Release a shard whose books were lost with a gap in the log."""
@@ -125,7 +125,7 @@
 
     def _is_quiet(self, book: ShardBook, wall: float) -> bool:
         boxes = book.index.boxes.values()
-        if any(box.in_exchange for box in boxes):
+        if any(box.exchange_in_flight for box in boxes):
             return False
         limit = wall - self._parameters.clock_margin_s
         return all(
@@ -174,7 +174,7 @@
         if now > self._ownership.term_ends() + self._parameters.orphan_s:
             return None
         in_office = self._may_decide(message.shard, now)
-        complete = book.listed and not book.unheard
+        complete = book.listed and not book.unreconciled
         return lender.asked(node, incarnation, message, now, in_office, complete)
 
     def box_answered(self, event: BoxAnswered) -> list[Effect]:
@@ -194,7 +194,7 @@
             if sweep:
                 effects += self._sweep(shard, book, now, wall)
             if self._may_decide(shard, now):
-                effects += self._starter.place(book, now)
+                effects += self._starter.run_round(book, now)
             if shard in self._releasing:
                 effects += self._release(book, heirs, wall)
             elif not book.superseded:
@@ -206,7 +206,7 @@
     ) -> list[Effect]:
         """Look at every box and task; what can't wait is done on each tick."""
         self._check_older_owner(shard, book, now, wall)
-        effects = self._placement.lapse(book, wall)
+        effects = self._placement.end_lapsed(book, wall)
         effects += self._drain(book, now)
         self._lend(book, now)
         self._keys[shard].prune(wall)
@@ -222,20 +222,20 @@
             return
         del self._before[shard]
         margin = self._parameters.lease_s + self._parameters.clock_margin_s
-        book.doubt_ends_wall = min(book.doubt_ends_wall, wall + margin)
+        book.old_leases_expired_wall = min(book.old_leases_expired_wall, wall + margin)
         self._lenders[shard].older_owner_gone(now)
 
     def _exchange(
         self, book: ShardBook, sweep: bool, now: float, wall: float
     ) -> list[Effect]:
-        names = list(book.index.boxes) if sweep else sorted(book.starting)
+        names = list(book.index.boxes) if sweep else sorted(book.boxes_with_starts)
         effects: list[Effect] = []
         for name in names:
             box = book.index.boxes[name]
             if self._placement.exchange_due(box, now):
                 effects.append(self._placement.exchange(book, box, now, wall))
             if not box.starts:
-                book.starting.discard(name)
+                book.boxes_with_starts.discard(name)
         return effects
 
     def _drain(self, book: ShardBook, now: float) -> list[Effect]:
--- a/src/granitetrestle/starts.py
+++ b/src/granitetrestle/starts.py
@@ -13,8 +13,8 @@
 from .events import Effect
 from .events import Note
 from .jobs import Jobs
+from .policy import BoxChoice
 from .policy import Policy
-from .policy import Verdict
 from .records import AttemptEnded
 from .table import Table
 from .waiting import Shape
@@ -23,9 +23,9 @@
 
 __all__ = ["Starter"]
 
-ROUND_LIMIT = 2000
-EVICTION_PATIENCE_S = 5.0
-EVICTIONS_PER_MINUTE = 30
+MAX_PLACEMENTS_PER_PASS = 2000
+EVICTION_TIMEOUT_S = 5.0
+MAX_EVICTIONS_PER_MINUTE = 30
 
 
 class Starter:
@@ -45,7 +45,7 @@
         self._jobs = jobs
         self._evictions: dict[str, list[float]] = {}
 
-    def place(self, book: ShardBook, now: float) -> list[Effect]:
+    def run_round(self, book: ShardBook, now: float) -> list[Effect]:
         """Run a round if anything changed since the last.
 
         :returns: notes and ends; starts wait at their boxes for the exchange.
@@ -55,28 +55,29 @@
         book.dirty = False
         book.blocked.clear()
         effects: list[Effect] = []
-        for first in (True, False):
-            self._pass(book, now, first, effects)
+        for prioritized_pass in (True, False):
+            self._pass(book, now, prioritized_pass, effects)
         return effects
 
     def _pass(
-        self, book: ShardBook, now: float, first: bool, effects: list[Effect]
+        self, book: ShardBook, now: float, prioritized_pass: bool, effects: list[Effect]
     ) -> None:
         heap = [
-            (self._rank(book, account), account) for account in book.waiting.accounts
+            (self._weighted_share(book, account), account)
+            for account in book.waiting.accounts
         ]
         heapq.heapify(heap)
-        for _ in range(ROUND_LIMIT):
+        for _ in range(MAX_PLACEMENTS_PER_PASS):
             if not heap:
                 return
             _, account = heapq.heappop(heap)
-            if self._place_one(book, account, now, first, effects):
-                heapq.heappush(heap, (self._rank(book, account), account))
+            if self._place_one(book, account, now, prioritized_pass, effects):
+                heapq.heappush(heap, (self._weighted_share(book, account), account))
         book.dirty = True
 
-    def _rank(self, book: ShardBook, account: str) -> float:
+    def _weighted_share(self, book: ShardBook, account: str) -> float:
         usage = book.usage.get(account, Usage())
-        share = usage.total.share_of(book.index.total)
+        share = usage.total.dominant_share(book.index.total)
         return share / self._table.number(account, "weight")
 
     def _place_one(
@@ -84,12 +85,14 @@
         book: ShardBook,
         account: str,
         now: float,
-        first: bool,
+        prioritized_pass: bool,
         effects: list[Effect],
     ) -> bool:
         for shape in book.waiting.shapes(account):
-            ahead = shape.service or self._urgent_now(book, account, shape)
-            if ahead != first or (account, shape) in book.blocked:
+            prioritized = shape.service or self._within_urgent_quota(
+                book, account, shape
+            )
+            if prioritized != prioritized_pass or (account, shape) in book.blocked:
                 continue
             task = book.waiting.head(account, shape)
             if task is None:
@@ -103,12 +106,12 @@
             book.blocked[(account, shape)] = reason
         return False
 
-    def _urgent_now(self, book: ShardBook, account: str, shape: Shape) -> bool:
+    def _within_urgent_quota(self, book: ShardBook, account: str, shape: Shape) -> bool:
         if not shape.urgent:
             return False
         used = book.usage.get(account, Usage()).urgent_cores
-        right = self._table.number(account, "urgent_cores") / self._shards
-        return used + shape.need.cores <= right
+        quota = self._table.number(account, "urgent_cores") / self._shards
+        return used + shape.need.cores <= quota
 
     def _end_cancelled(self, book: ShardBook, task: WaitingTask) -> Effect:
         book.waiting.discard(task.task)
@@ -125,20 +128,22 @@
         now: float,
         effects: list[Effect],
     ) -> str:
-        over = self.over_limit(book, task.account, shape.need)
-        if over:
-            return over
-        verdict = self._policy.choose(task.spec, task.job, book.index, now)
-        if verdict is not None:
-            self._start(book, task, verdict)
-            note = f"on {verdict.box}: {verdict.reason}"
+        exceeded = self.exceeded_limit(book, task.account, shape.need)
+        if exceeded:
+            return exceeded
+        choice = self._policy.choose(task.spec, task.job, book.index, now)
+        if choice is not None:
+            self._start(book, task, choice)
+            note = f"on {choice.box}: {choice.reason}"
             effects.append(Note("placed", task.task, note, book.epoch))
             return ""
-        if not shape.service and not self._urgent_now(book, task.account, shape):
+        if not shape.service and not self._within_urgent_quota(
+            book, task.account, shape
+        ):
             return "no box has room"
         return self._evict_for(book, task, now, effects)
 
-    def over_limit(self, book: ShardBook, account: str, need: Vector) -> str:
+    def exceeded_limit(self, book: ShardBook, account: str, need: Vector) -> str:
         """Return which limit of the account ``need`` would pass, or nothing."""
         total = book.usage.get(account, Usage()).total.plus(need)
         for column, value in (
@@ -151,8 +156,8 @@
                 return f"account limit {column} ({limit:g} in this shard)"
         return ""
 
-    def _start(self, book: ShardBook, task: WaitingTask, verdict: Verdict) -> None:
-        box = book.index.boxes[verdict.box]
+    def _start(self, book: ShardBook, task: WaitingTask, choice: BoxChoice) -> None:
+        box = book.index.boxes[choice.box]
         assignment = Assignment(
             task.task,
             task.attempt,
@@ -160,65 +165,65 @@
             task.account,
             task.job,
             task.spec,
-            verdict.box,
+            choice.box,
             "starting",
             not_after=0.0,
             expires=0.0,
-            reason=verdict.reason,
+            reason=choice.reason,
         )
         book.book(box, assignment, adopted=False)
-        book.evicting_for.pop(task.task, None)
+        book.eviction_deadlines.pop(task.task, None)
         box.starts[task.task] = assignment
-        book.starting.add(verdict.box)
+        book.boxes_with_starts.add(choice.box)
 
     def _evict_for(
         self, book: ShardBook, task: WaitingTask, now: float, effects: list[Effect]
     ) -> str:
-        if now < book.evicting_for.get(task.task, -1.0):
+        if now < book.eviction_deadlines.get(task.task, -1.0):
             return "waiting for evicted work to leave"
-        verdict = self._policy.make_room(
+        choice = self._policy.choose_evictions(
             task.spec, book.index, now, lambda a: self._table.number(a, "eviction_cost")
         )
-        if verdict is None:
+        if choice is None:
             return "no box has room, nor can any be made"
-        if not self._within_budget(book, verdict, now):
+        if not self._within_budget(book, choice, now):
             return "eviction budget of the accounts that would yield is spent"
-        book.evicting_for[task.task] = now + EVICTION_PATIENCE_S
-        for victim in verdict.victims:
-            assignment = book.index.boxes[verdict.box].tasks[victim]
+        book.eviction_deadlines[task.task] = now + EVICTION_TIMEOUT_S
+        for victim in choice.victims:
+            assignment = book.index.boxes[choice.box].tasks[victim]
             assignment.state = "evicting"
             assignment.stop_reason = "evicted"
             self._evictions.setdefault(assignment.account, []).append(now)
-            why = f"yields {verdict.box} to {task.task}: {verdict.reason}"
+            why = f"yields {choice.box} to {task.task}: {choice.reason}"
             assignment.reason = why
             effects.append(Note("evicting", victim, why, book.epoch))
-        book.index.boxes[verdict.box].next_exchange = now
-        return f"waiting for {', '.join(verdict.victims)} to leave {verdict.box}"
+        book.index.boxes[choice.box].next_exchange_at = now
+        return f"waiting for {', '.join(choice.victims)} to leave {choice.box}"
 
-    def _within_budget(self, book: ShardBook, verdict: Verdict, now: float) -> bool:
-        tasks = book.index.boxes[verdict.box].tasks
-        wanted: dict[str, int] = {}
-        for victim in verdict.victims:
+    def _within_budget(self, book: ShardBook, choice: BoxChoice, now: float) -> bool:
+        tasks = book.index.boxes[choice.box].tasks
+        evictions: dict[str, int] = {}
+        for victim in choice.victims:
             account = tasks[victim].account
-            wanted[account] = wanted.get(account, 0) + 1
+            evictions[account] = evictions.get(account, 0) + 1
         return all(
-            self._recent(account, now) + count <= EVICTIONS_PER_MINUTE
-            for account, count in wanted.items()
+            self._recent_evictions(account, now) + count <= MAX_EVICTIONS_PER_MINUTE
+            for account, count in evictions.items()
         )
 
-    def _recent(self, account: str, now: float) -> int:
+    def _recent_evictions(self, account: str, now: float) -> int:
         recent = [at for at in self._evictions.get(account, []) if now - at < 60.0]
         self._evictions[account] = recent
         return len(recent)
 
     def explain(self, book: ShardBook, task: str) -> str:
         """Say why a task is where it is, or why it waits."""
-        name = book.where.get(task)
+        name = book.box_of_task.get(task)
         if name is not None:
             assignment = book.index.boxes[name].tasks[task]
             return f"{assignment.state} on {name}: {assignment.reason}"
-        if task in book.doubts:
-            silent = ", ".join(sorted(book.unheard)[:5])
+        if task in book.uncertain:
+            silent = ", ".join(sorted(book.unreconciled)[:5])
             return f"may still run under an older epoch; not heard from: {silent}"
         waiting = book.waiting.find(task)
         if waiting is None:
--- a/src/granitetrestle/waiting.py
+++ b/src/granitetrestle/waiting.py
@@ -4,7 +4,7 @@
 
 import typing as t
 
-from .capacity import NOTHING
+from .capacity import NO_RESOURCES
 from .capacity import Vector
 from .records import JobSpec
 
@@ -38,10 +38,10 @@
 class Usage(t.NamedTuple):
     """What an account's running tasks take in this shard."""
 
-    total: Vector = NOTHING
+    total: Vector = NO_RESOURCES
     urgent_cores: float = 0.0
 
-    def changed(self, spec: JobSpec, sign: int) -> "Usage":
+    def with_task(self, spec: JobSpec, sign: int) -> "Usage":
         """Return the usage with one task of ``spec`` more (or less)."""
         urgent = spec.cores if spec.urgent else 0.0
         total = self.total.plus(Vector.of(spec), sign)
@@ -52,54 +52,54 @@
     """Account -> shape -> tasks in order of arrival."""
 
     def __init__(self) -> None:
-        self._lines: dict[str, dict[Shape, dict[str, WaitingTask]]] = {}
-        self._where: dict[str, tuple[str, Shape]] = {}
+        self._queues: dict[str, dict[Shape, dict[str, WaitingTask]]] = {}
+        self._positions: dict[str, tuple[str, Shape]] = {}
 
     def __len__(self) -> int:
-        return len(self._where)
+        return len(self._positions)
 
     def __contains__(self, task: str) -> bool:
-        return task in self._where
+        return task in self._positions
 
     @property
     def accounts(self) -> list[str]:
         """Accounts with a task waiting."""
-        return list(self._lines)
+        return list(self._queues)
 
     def push(self, task: WaitingTask) -> None:
         """Add a task at the end of its line; again is a no-op."""
-        if task.task in self._where:
+        if task.task in self._positions:
             return
         shape = Shape.of(task.spec)
-        lines = self._lines.setdefault(task.account, {})
-        lines.setdefault(shape, {})[task.task] = task
-        self._where[task.task] = (task.account, shape)
+        queues = self._queues.setdefault(task.account, {})
+        queues.setdefault(shape, {})[task.task] = task
+        self._positions[task.task] = (task.account, shape)
 
     def discard(self, task: str) -> bool:
         """Take a task out of its line; says whether it stood there."""
-        place = self._where.pop(task, None)
-        if place is None:
+        position = self._positions.pop(task, None)
+        if position is None:
             return False
-        account, shape = place
-        line = self._lines[account][shape]
-        del line[task]
-        if not line:
-            del self._lines[account][shape]
-        if not self._lines[account]:
-            del self._lines[account]
+        account, shape = position
+        queue = self._queues[account][shape]
+        del queue[task]
+        if not queue:
+            del self._queues[account][shape]
+        if not self._queues[account]:
+            del self._queues[account]
         return True
 
     def shapes(self, account: str) -> list[Shape]:
         """Return the account's shapes, urgent and services first."""
-        lines = self._lines.get(account, {})
-        return sorted(lines, key=lambda s: (not s.urgent, not s.service))
+        queues = self._queues.get(account, {})
+        return sorted(queues, key=lambda s: (not s.urgent, not s.service))
 
     def head(self, account: str, shape: Shape) -> WaitingTask | None:
         """Return the task that has waited longest."""
-        line = self._lines.get(account, {}).get(shape)
-        return next(iter(line.values())) if line else None
+        queue = self._queues.get(account, {}).get(shape)
+        return next(iter(queue.values())) if queue else None
 
     def find(self, task: str) -> WaitingTask | None:
         """Return a waiting task by name."""
-        place = self._where.get(task)
-        return self._lines[place[0]][place[1]][task] if place else None
+        position = self._positions.get(task)
+        return self._queues[position[0]][position[1]][task] if position else None
--- a/tools/older_mutants.py
+++ b/tools/older_mutants.py
@@ -26,7 +26,7 @@
         (
             (
                 "books.py",
-                "if task.opened < self.epoch and self._in_doubt():",
+                "if task.opened < self.epoch and self._reconciling():",
                 "if False:",
             ),
         ),
