--- a/src/granitetrestle/capacity.py
+++ b/src/granitetrestle/capacity.py
@@ -1,6 +1,6 @@
-"""What boxes have, what has been handed out of it, and an index that finds a box
-with room without looking at all of them. Everything that may still occupy a box
-counts as handed out: a start without an answer as much as a running task."""
+"""Resources of boxes, the assignments that occupy them, and an index that finds a
+box with enough free resources without scanning all of them. Everything that may still
+occupy a box counts as assigned: an unanswered start as much as a running task."""
 
 import dataclasses
 import math
@@ -17,14 +17,14 @@
 
 
 class Vector(t.NamedTuple):
-    """An amount of each resource: cores, GB of memory, accelerators."""
+    """Resource vector: cores, GB of memory, accelerators."""
 
     cores: float
     memory_gb: float
     accelerators: int
 
     def fits(self, available: "Vector") -> bool:
-        """Say whether this amount can be taken out of ``available``."""
+        """Return whether ``available`` covers this vector."""
         return (
             self.cores <= available.cores + ROUNDING_TOLERANCE
             and self.memory_gb <= available.memory_gb + ROUNDING_TOLERANCE
@@ -32,7 +32,7 @@
         )
 
     def plus(self, other: "Vector", sign: int = 1) -> "Vector":
-        """Return the sum, or with ``sign`` -1 the difference."""
+        """Return the sum, or the difference if ``sign`` is -1."""
         return Vector(
             self.cores + sign * other.cores,
             self.memory_gb + sign * other.memory_gb,
@@ -40,7 +40,7 @@
         )
 
     def dominant_share(self, total: "Vector") -> float:
-        """Return the dominant share of ``total``, 0 to 1."""
+        """Return the largest share of ``total`` over all resources, 0 to 1."""
         return max(
             self.cores / total.cores if total.cores else 0.0,
             self.memory_gb / total.memory_gb if total.memory_gb else 0.0,
@@ -49,7 +49,7 @@
 
     @classmethod
     def of(cls, spec: JobSpec) -> "Vector":
-        """Return what one task of ``spec`` takes."""
+        """Return the demand of one task of ``spec``."""
         return cls(spec.cores, spec.memory_gb, spec.accelerators)
 
 
@@ -62,11 +62,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Assignment:
-    """An attempt of a task that occupies a box, or may.
+    """An attempt of a task that occupies a box or may occupy it.
 
-    :param not_after: wall time (s) after which a start no longer counts.
-    :param expires: wall time (s) at which the last lease granted lapses.
-    :param stop_reason: ending to record once the box proves the stop.
+    :param not_after: wall time (s) after which a box rejects the start.
+    :param expires: wall time (s) at which the newest granted lease expires.
+    :param stop_reason: ending to record once the box has confirmed the stop.
     """
 
     task: str
@@ -85,10 +85,12 @@
 
 @dataclasses.dataclass(slots=True)
 class BoxState:
-    """A box of an owned shard, with all that may occupy it.
+    """A box of an owned shard, with all assignments that may occupy it.
 
-    :param silent_wall: when the last exchange that failed was sent (wall s).
-    :param settled: has reported since no older epoch's start can arrive.
+    :param last_report_wall: when the last answered exchange was sent (wall s).
+    :param last_failure_wall: when the last failed exchange was sent (wall s).
+    :param reconciled: has reported since the time after which no start of an older
+        epoch can arrive.
     """
 
     info: BoxInfo
@@ -110,28 +112,28 @@
 
     @property
     def silent(self) -> bool:
-        """Whether the last exchange that ended got no answer."""
+        """Whether the newest completed exchange failed."""
         return self.last_failure_wall > self.last_report_wall
 
     def open_for_work(self, now: float) -> bool:
-        """Say whether new tasks may be placed here."""
+        """Return whether new tasks may be placed here."""
         closed = self.drained or self.evacuated or self.info.leaving
         unknown = not self.reconciled or self.silent
         return not closed and not unknown and now >= self.quarantined_until
 
     @property
     def total(self) -> Vector:
-        """All that the box has."""
+        """Total resources of the box."""
         return self.total_of(self.info)
 
     @staticmethod
     def total_of(info: BoxInfo) -> Vector:
-        """Return all that a listed box has."""
+        """Return the total resources of a listed box."""
         return Vector(info.cores, info.memory_gb, info.accelerators)
 
 
 class CapacityIndex:
-    """Boxes by whole free cores, so that a fit is found in near constant time."""
+    """Boxes by whole free cores, to find a fitting box in nearly constant time."""
 
     def __init__(self) -> None:
         self._boxes: dict[str, BoxState] = {}
@@ -147,11 +149,11 @@
 
     @property
     def total(self) -> Vector:
-        """What all indexed boxes have."""
+        """Total resources of all indexed boxes."""
         return self._total
 
     def tasks_per_rack(self, job: str) -> t.Mapping[str, int]:
-        """Return rack -> how many tasks of ``job`` it holds."""
+        """Return rack -> number of tasks of ``job`` on it."""
         return self._racks.get(job, {})
 
     def add(self, box: BoxState) -> None:
@@ -161,7 +163,7 @@
         self._add_to_level(box)
 
     def remove(self, name: str) -> None:
-        """Drop a box and all that was booked on it."""
+        """Remove a box and release all its assignments."""
         box = self._boxes[name]
         for task in list(box.tasks):
             self.release(box, task)
@@ -170,18 +172,23 @@
         self._remove_from_level(box)
 
     def reserve(self, box: BoxState, assignment: Assignment) -> None:
-        """Book an attempt that this process decided to start.
+        """Assign resources to an attempt that this process decided to start.
 
-        :raises InvariantViolated: if the box has not enough left (promise 1).
+        :raises InvariantViolated: if the box has too little free (promise 1).
         """
         if not Vector.of(assignment.spec).fits(box.free):
-            raise InvariantViolated(f"{assignment.task} does not fit {box.info.box}")
+            raise InvariantViolated(f"{assignment.task} does not fit on {box.info.box}")
         self.adopt(box, assignment)
 
     def adopt(self, box: BoxState, assignment: Assignment) -> None:
-        """Book an attempt that already runs, even if the box is now too full."""
+        """Count an attempt that already runs, even beyond the capacity of the box.
+
+        :raises InvariantViolated: if the task is assigned to the box already.
+        """
         if assignment.task in box.tasks:
-            raise InvariantViolated(f"{assignment.task} is booked twice")
+            raise InvariantViolated(
+                f"{assignment.task} is assigned twice to {box.info.box}"
+            )
         self._remove_from_level(box)
         box.tasks[assignment.task] = assignment
         box.free = box.free.plus(Vector.of(assignment.spec), -1)
@@ -189,7 +196,7 @@
         self._count_rack(box, assignment.job, 1)
 
     def release(self, box: BoxState, task: str) -> Assignment:
-        """Give back what a task that provably stopped had taken."""
+        """Release the resources of a task that is proven to have stopped."""
         self._remove_from_level(box)
         assignment = box.tasks.pop(task)
         box.free = box.free.plus(Vector.of(assignment.spec))
@@ -210,9 +217,9 @@
     def candidates(
         self, need: Vector, now: float, limit: int, spread: bool
     ) -> list[BoxState]:
-        """Return up to ``limit`` boxes with room.
+        """Return up to ``limit`` boxes that accept tasks and have ``need`` free.
 
-        :param spread: from the emptiest down, instead of the fullest up.
+        :param spread: most free cores first, instead of fewest first.
         """
         found: list[BoxState] = []
         lowest = math.floor(need.cores + ROUNDING_TOLERANCE)
--- a/src/granitetrestle/fairqueue.py
+++ b/src/granitetrestle/fairqueue.py
@@ -1,5 +1,5 @@
-"""Requests that wait for a slot, one bounded line for each account, served in
-weighted fair order so that one account's flood leaves the others' wait alone."""
+"""Weighted fair queue of requests that wait for a slot. Each client account has a
+bounded queue of its own, so a burst of one account does not delay the others."""
 
 import collections
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 class FairQueue:
-    """The line of one service: start-time fair queueing over accounts."""
+    """The queue of one service: start-time fair queueing over accounts."""
 
     def __init__(self) -> None:
         self._queues: dict[str, _AccountQueue] = {}
@@ -28,12 +28,12 @@
         return self._length
 
     def waiting(self, account: str) -> int:
-        """Return how many requests of an account wait."""
+        """Return the number of waiting requests of an account."""
         queue = self._queues.get(account)
         return len(queue.requests) if queue else 0
 
     def push(self, account: str, request: str) -> None:
-        """Add a request at the end of its account's line."""
+        """Append a request to the queue of its account."""
         queue = self._queues.get(account)
         if queue is None:
             queue = self._queues[account] = _AccountQueue(start_tag=self._virtual)
@@ -41,7 +41,7 @@
         self._length += 1
 
     def discard(self, account: str, request: str) -> bool:
-        """Take a request out; says whether it waited."""
+        """Remove a request; returns whether it was waiting."""
         queue = self._queues.get(account)
         if queue is None or request not in queue.requests:
             return False
@@ -54,10 +54,10 @@
     def pop(
         self, weight: t.Callable[[str], float], allowed: t.Callable[[str], bool]
     ) -> str | None:
-        """Return the next request in fair order, taken out of its line.
+        """Remove and return the next request in fair order.
 
         :param weight: account -> weight from the table.
-        :param allowed: account -> whether it may have one more in flight.
+        :param allowed: account -> whether it may have one more request in flight.
         """
         ready = [(queue.start_tag, name) for name, queue in self._queues.items()]
         for start_tag, account in sorted(ready):
@@ -74,7 +74,7 @@
         return None
 
     def requests_ahead(self, account: str, weight: t.Callable[[str], float]) -> float:
-        """Return how many requests go before a new one of ``account``."""
+        """Return how many waiting requests are served before a new one of ``account``."""
         own = self.waiting(account)
         own_weight = weight(account)
         ahead = float(own)
--- a/src/granitetrestle/placementparameters.py
+++ b/src/granitetrestle/placementparameters.py
@@ -1,4 +1,4 @@
-"""How long placements of the older path last, and which shard a box belongs to."""
+"""Durations of leases and exchanges on the older path, and the shard of a box."""
 
 import typing as t
 import zlib
@@ -9,11 +9,12 @@
 class PlacementParameters(t.NamedTuple):
     """Durations in seconds.
 
-    :param lease_s: how long a box runs a task without a renewal.
-    :param start_window_s: how old a start may be when it arrives.
-    :param clock_margin_s: how far wall clocks of two machines may differ.
-    :param exchange_s: time between two exchanges with a quiet box.
-    :param orphan_s: how long an owner past its term renews what runs.
+    :param lease_s: how long a box runs a task without a lease renewal.
+    :param start_window_s: maximum age of a start command when it arrives.
+    :param clock_margin_s: maximum difference of the wall clocks of two machines.
+    :param exchange_s: interval of exchanges with a box that has nothing to start.
+    :param orphan_s: how long an owner whose term has ended goes on renewing the leases
+        of running tasks.
     """
 
     lease_s: float = 10.0
@@ -24,5 +25,5 @@
 
 
 def shard_of(box: str, shards: int) -> int:
-    """Return the shard of a box; the same in every process, for good."""
+    """Return the shard of a box. All processes and releases must agree on it."""
     return zlib.crc32(box.encode()) % shards
--- a/src/granitetrestle/policy.py
+++ b/src/granitetrestle/policy.py
@@ -1,6 +1,6 @@
-"""Which box a task goes to and which work yields. The rules that keep promises
-stand in :mod:`granitetrestle.placement`; a policy only chooses among boxes that
-are allowed, so that policies can be swapped and measured side by side."""
+"""Placement policies: the box for a task, and the tasks to evict for it. The rules
+that keep promises are in :mod:`granitetrestle.placement`; a policy only chooses among
+permitted boxes, so that policies can be exchanged and compared by measurement."""
 
 import abc
 import typing as t
@@ -17,7 +17,7 @@
 
 
 class BoxChoice(t.NamedTuple):
-    """A chosen box, the tasks that must yield first, and why."""
+    """A chosen box, the tasks to evict from it first, and the reason."""
 
     box: str
     victims: tuple[str, ...]
@@ -25,13 +25,13 @@
 
 
 class Policy(abc.ABC):
-    """Chooses boxes for tasks."""
+    """Chooses boxes for tasks, and tasks to evict."""
 
     @abc.abstractmethod
     def choose(
         self, spec: JobSpec, job: str, index: CapacityIndex, now: float
     ) -> BoxChoice | None:
-        """Return a box with room, or ``None`` if there is none."""
+        """Return a box with enough free resources, or ``None`` if there is none."""
 
     def choose_evictions(
         self,
@@ -40,9 +40,12 @@
         now: float,
         cost: t.Callable[[str], float],
     ) -> BoxChoice | None:
-        """Return the box where the cheapest batch tasks can yield.
+        """Return the box on which eviction of batch tasks costs least, or ``None``.
 
-        :param cost: account -> harm of evicting one of its tasks.
+        Compares the first ``MIN_EVICTION_CANDIDATES`` boxes with tasks. If none of
+        them will do, the first further box that does is chosen.
+
+        :param cost: account -> cost of evicting one of its tasks.
         """
         best: tuple[float, BoxChoice] | None = None
         checked = 0
@@ -87,23 +90,27 @@
 
 
 class FirstFit(Policy):
-    """Baseline: the first box with room."""
+    """Baseline: the first box with enough free resources."""
 
     def choose(
         self, spec: JobSpec, job: str, index: CapacityIndex, now: float
     ) -> BoxChoice | None:
-        """Return the fullest box with room."""
+        """Return a box with the fewest free cores that suffice."""
         found = index.candidates(Vector.of(spec), now, 1, spread=False)
         return BoxChoice(found[0].info.box, (), "first fit") if found else None
 
 
 class RackSpread(Policy):
-    """Services to emptier boxes and over racks; batch packed beside batch."""
+    """Spreads services over racks and emptier boxes; packs batch next to batch."""
 
     def choose(
         self, spec: JobSpec, job: str, index: CapacityIndex, now: float
     ) -> BoxChoice | None:
-        """Return the box with the fewest neighbours that matter to the task."""
+        """Return the box for one task.
+
+        A batch task goes where the fewest services run, a replica of a service to
+        the rack with the fewest of its job, then to the least batch work.
+        """
         service = spec.kind == "service"
         found = index.candidates(Vector.of(spec), now, MAX_CANDIDATES, spread=service)
         if not found:
@@ -111,7 +118,7 @@
         if not service:
             box = min(found, key=lambda b: (_service_count(b), b.free.cores))
             return BoxChoice(
-                box.info.box, (), f"{_service_count(box)} services beside it"
+                box.info.box, (), f"{_service_count(box)} services on the box"
             )
         racks = index.tasks_per_rack(job)
         box = min(found, key=lambda b: (racks.get(b.info.rack, 0), _batch_cores(b)))
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -1,6 +1,6 @@
-"""The one reducer: ``step(event) -> effects``. It composes the parts by subject,
+"""State machine of one process on the older path: ``step(event) -> effects``. It
 reads no clock, draws no random numbers and does no I/O, so that the same events
-always give the same state and effects."""
+always give the same state and effects. Each part handles the events of one subject."""
 
 import typing as t
 
@@ -149,32 +149,32 @@
 
     @property
     def table(self) -> Table:
-        """The table in force here."""
+        """The configuration table as read from the log."""
         return self._table
 
     @property
     def jobs(self) -> Jobs:
-        """The hall's jobs."""
+        """Jobs of the data hall."""
         return self._jobs
 
     @property
     def ownership(self) -> Ownership:
-        """Shards, members and terms of the hall."""
+        """Shards, members and terms of the data hall."""
         return self._ownership
 
     @property
     def owner(self) -> ShardOwner:
-        """What this process does as owner."""
+        """The part that serves the shards which this process owns."""
         return self._owner
 
     @property
     def borrower(self) -> Borrower:
-        """The slots lent to this process."""
+        """The part that borrows service slots for this process."""
         return self._borrower
 
     @property
     def halls(self) -> Halls:
-        """What is known of the other halls."""
+        """State of the other data halls as last reported."""
         return self._halls
 
     @property
@@ -194,21 +194,21 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here: both streams were read once."""
+        """Whether clients may be sent here: both streams were read to their ends."""
         read = {self._stream, CONFIG_STREAM} <= self._streams_at_tail
         return read and not self._stopping
 
     @property
     def stopped(self) -> bool:
-        """Whether a planned stop has nothing left to finish or hand over."""
+        """Whether a planned stop is complete: nothing to finish or to hand over."""
         idle = not self._requests.unanswered and not len(self._submissions)
         return self._stopping and idle and not self._ownership.owned()
 
     def step(self, event: Event) -> list[Effect]:
         """Apply one event.
 
-        :returns: the effects, in the order in which they are to be carried out.
-        :raises InvariantViolated: if a promise no longer holds: a bug.
+        :returns: effects, to be carried out in this order.
+        :raises InvariantViolated: if a promise is broken, which is a bug.
         """
         return self._handlers[type(event)](event)
 
@@ -283,7 +283,7 @@
 
     def _snapshot_read(self, event: ev.SnapshotRead) -> list[Effect]:
         if event.upto < self._offsets.get(event.stream, 1) - 1:
-            # Older than what was read already; going back is never right.
+            # An older snapshot would undo records that were applied already.
             return []
         self._offsets[event.stream] = event.upto + 1
         self._snapshot_at[event.stream] = (event.upto, event.now)
@@ -302,14 +302,15 @@
         self._owner.placement.restore_drained(state.drained)
         self._owner.placement.hall_evacuated(state.evacuated)
         self._writers[self._stream] = state.writers
-        # The books of what we still hold went with the gap: let others follow.
+        # The state of shards held here was lost with the records skipped in the log,
+        # so the shards are released to other owners.
         return [
             self._owner.give_up(shard, self._ownership.shards[shard].epoch)
             for shard in self._ownership.owned()
         ]
 
     def _write_due_snapshots(self, now: float) -> list[Effect]:
-        """Write snapshots well before the log drops what they cover."""
+        """Write snapshots before the log drops the records that they cover."""
         if self._ownership.gatherer(now) != self._setup.node:
             return []
         effects = self._write_if_due(self._stream, now)
@@ -318,7 +319,7 @@
         return effects
 
     def write_snapshots_now(self) -> None:
-        """Let the next tick write snapshots, if this process is to write them."""
+        """Make snapshots due at the next tick, if this process is the one to write them."""
         for stream in self._streams_at_tail:
             self._snapshot_at[stream] = (0, -1e18)
 
@@ -338,7 +339,7 @@
         return [AppendFacts(target, (chunk,)) for chunk in chunks(upto, payload)]
 
     def state_of(self, stream: str) -> ConfigState | HallState:
-        """Return what a stream's records have led to, for a snapshot."""
+        """Return the state after the records of a stream, for a snapshot."""
         writers = self._writers.get(stream, {})
         if stream == CONFIG_STREAM:
             return ConfigState(self._table.rows, writers)
@@ -451,7 +452,7 @@
             case LoansHeld() | KeyAsked():
                 return self._answer_peer(event, message)
             case NodeStatus() | LeaderResigned() | CallForwarded() | CallAnswered():
-                # These go between processes that serve jobs of steps.
+                # Messages of the newer path, which serves jobs of steps.
                 return []
 
     def _answer_peer(
@@ -488,10 +489,10 @@
         return self._owner.explain(job)
 
     def shard_of_box(self, box: str) -> int:
-        """Return the shard of a box of this hall."""
+        """Return the shard of a box of this data hall."""
         return shard_of(box, self._setup.shards)
 
     def key_owner(self, account: str, key: str) -> str:
-        """Return the process of this hall that decides on a key."""
+        """Return the process of this data hall that owns the shard of a key."""
         shard = key_shard(account, key, self._setup.shards)
         return self._ownership.shards[shard].holder
--- a/src/granitetrestle/waiting.py
+++ b/src/granitetrestle/waiting.py
@@ -1,6 +1,6 @@
-"""Tasks that wait for a box, in weighted dominant-resource order. Tasks of one
-account and one shape wait in one line, so a round looks at shapes and not at
-tasks, and a wave of submissions or cancellations costs a constant for each."""
+"""Tasks that wait for a box, with a queue for each pair of account and shape. A
+placement round thus checks shapes instead of single tasks, and each submission or
+cancellation takes constant time, also in a burst."""
 
 import typing as t
 
@@ -12,7 +12,7 @@
 
 
 class Shape(t.NamedTuple):
-    """What makes two tasks interchangeable for placement."""
+    """Properties that placement depends on; tasks that share them are equivalent."""
 
     need: Vector
     service: bool
@@ -25,7 +25,7 @@
 
 
 class WaitingTask(t.NamedTuple):
-    """A task that may be started now as attempt ``attempt``."""
+    """A task that waits to be started as attempt ``attempt``."""
 
     task: str
     attempt: int
@@ -36,13 +36,13 @@
 
 
 class Usage(t.NamedTuple):
-    """What an account's running tasks take in this shard."""
+    """Resources that the assigned tasks of an account use in this shard."""
 
     total: Vector = NO_RESOURCES
     urgent_cores: float = 0.0
 
     def with_task(self, spec: JobSpec, sign: int) -> "Usage":
-        """Return the usage with one task of ``spec`` more (or less)."""
+        """Return the usage with a task of ``spec`` added, or removed if ``sign`` is -1."""
         urgent = spec.cores if spec.urgent else 0.0
         total = self.total.plus(Vector.of(spec), sign)
         return Usage(total, self.urgent_cores + sign * urgent)
@@ -63,11 +63,11 @@
 
     @property
     def accounts(self) -> list[str]:
-        """Accounts with a task waiting."""
+        """Accounts with waiting tasks."""
         return list(self._queues)
 
     def push(self, task: WaitingTask) -> None:
-        """Add a task at the end of its line; again is a no-op."""
+        """Append a task to its queue; no effect if it waits already."""
         if task.task in self._positions:
             return
         shape = Shape.of(task.spec)
@@ -76,7 +76,7 @@
         self._positions[task.task] = (task.account, shape)
 
     def discard(self, task: str) -> bool:
-        """Take a task out of its line; says whether it stood there."""
+        """Remove a task from its queue; returns whether it was waiting."""
         position = self._positions.pop(task, None)
         if position is None:
             return False
@@ -90,16 +90,16 @@
         return True
 
     def shapes(self, account: str) -> list[Shape]:
-        """Return the account's shapes, urgent and services first."""
+        """Return the shapes of an account: urgent ones first, then services."""
         queues = self._queues.get(account, {})
         return sorted(queues, key=lambda s: (not s.urgent, not s.service))
 
     def head(self, account: str, shape: Shape) -> WaitingTask | None:
-        """Return the task that has waited longest."""
+        """Return the first task of a queue."""
         queue = self._queues.get(account, {}).get(shape)
         return next(iter(queue.values())) if queue else None
 
     def find(self, task: str) -> WaitingTask | None:
-        """Return a waiting task by name."""
+        """Return a waiting task by name, or ``None``."""
         position = self._positions.get(task)
         return self._queues[position[0]][position[1]][task] if position else None
