--- a/src/granitetrestle/capacity.py
+++ b/src/granitetrestle/capacity.py
@@ -138,7 +138,7 @@
     def __init__(self) -> None:
         self._boxes: dict[str, BoxState] = {}
         self._levels: dict[int, dict[str, BoxState]] = {}
-        self._top = 0
+        self._max_level = 0
         self._total = NO_RESOURCES
         self._racks: dict[str, dict[str, int]] = {}
 
@@ -223,8 +223,8 @@
         """
         found: list[BoxState] = []
         lowest = math.floor(need.cores + ROUNDING_TOLERANCE)
-        levels: t.Iterable[int] = range(lowest, self._top + 1)
-        for level in reversed(range(lowest, self._top + 1)) if spread else levels:
+        levels: t.Iterable[int] = range(lowest, self._max_level + 1)
+        for level in reversed(range(lowest, self._max_level + 1)) if spread else levels:
             for box in self._levels.get(level, {}).values():
                 if need.fits(box.free) and box.open_for_work(now):
                     found.append(box)
@@ -237,7 +237,7 @@
 
     def _add_to_level(self, box: BoxState) -> None:
         level = self._level_of(box)
-        self._top = max(self._top, level)
+        self._max_level = max(self._max_level, level)
         self._levels.setdefault(level, {})[box.info.box] = box
 
     def _remove_from_level(self, box: BoxState) -> None:
--- a/src/granitetrestle/fairqueue.py
+++ b/src/granitetrestle/fairqueue.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self._queues: dict[str, _AccountQueue] = {}
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._length = 0
 
     def __len__(self) -> int:
@@ -36,7 +36,7 @@
         """Append a request to the queue of its account."""
         queue = self._queues.get(account)
         if queue is None:
-            queue = self._queues[account] = _AccountQueue(start_tag=self._virtual)
+            queue = self._queues[account] = _AccountQueue(start_tag=self._virtual_time)
         queue.requests[request] = None
         self._length += 1
 
@@ -66,8 +66,8 @@
             queue = self._queues[account]
             request, _ = queue.requests.popitem(last=False)
             self._length -= 1
-            self._virtual = max(self._virtual, start_tag)
-            queue.start_tag = max(start_tag, self._virtual) + 1.0 / weight(account)
+            self._virtual_time = max(self._virtual_time, start_tag)
+            queue.start_tag = max(start_tag, self._virtual_time) + 1.0 / weight(account)
             if not queue.requests:
                 del self._queues[account]
             return request
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -94,14 +94,17 @@
     ) -> list[Effect]:
         """Open a book for a shard whose claim this process won."""
         state = self._ownership.shards[shard]
-        quiet = self._ownership.quiet_from(shard) - now + wall
+        starts_expired_wall = self._ownership.quiet_from(shard) - now + wall
         if before.epoch:
-            quiet += self._parameters.clock_margin_s
-        orphan = 0.0 if before.released else self._parameters.orphan_s
-        ends = (
-            quiet + orphan + self._parameters.lease_s + self._parameters.clock_margin_s
+            starts_expired_wall += self._parameters.clock_margin_s
+        orphan_s = 0.0 if before.released else self._parameters.orphan_s
+        leases_expired_wall = (
+            starts_expired_wall
+            + orphan_s
+            + self._parameters.lease_s
+            + self._parameters.clock_margin_s
         )
-        book = ShardBook(shard, state.epoch, quiet, ends)
+        book = ShardBook(shard, state.epoch, starts_expired_wall, leases_expired_wall)
         book.evacuated = self._evacuated
         self._books[shard] = book
         self._apply_box_list(book)
@@ -134,8 +137,8 @@
                 book.add_box(info, info.box in self._drained)
             elif known.info != info:
                 book.update_box(known, info)
-        gone = [n for n, b in book.index.boxes.items() if self._is_gone(n, b)]
-        for name in gone:
+        removed = [n for n, b in book.index.boxes.items() if self._is_gone(n, b)]
+        for name in removed:
             book.index.remove(name)
             book.boxes_with_starts.discard(name)
             book.unreconciled.discard(name)
@@ -259,14 +262,14 @@
         """Return the next exchange with ``box``; starts leave within the term."""
         commands = list(box.cleanup.values())
         box.cleanup.clear()
-        commands += self._starts(book, box, now, wall)
+        commands += self._start_commands(book, box, now, wall)
         if now < self._ownership.term_ends() + self._parameters.orphan_s:
-            commands += self._renewals(book, box, wall)
+            commands += self._renewal_commands(book, box, wall)
         box.exchange_in_flight = True
         box.next_exchange_at = now + self._parameters.exchange_s
         return CommandBox(box.info.box, box.info.address, tuple(commands))
 
-    def _starts(
+    def _start_commands(
         self, book: ShardBook, box: BoxState, now: float, wall: float
     ) -> list[Command]:
         starts, box.starts = box.starts, {}
@@ -304,7 +307,9 @@
         if found is not None and not found[1].ended:
             book.enqueue(*found)
 
-    def _renewals(self, book: ShardBook, box: BoxState, wall: float) -> list[Command]:
+    def _renewal_commands(
+        self, book: ShardBook, box: BoxState, wall: float
+    ) -> list[Command]:
         commands: list[Command] = []
         expires = wall + self._parameters.lease_s
         for assignment in box.tasks.values():
@@ -336,12 +341,12 @@
         if book.superseded:
             return []
         effects: list[Effect] = []
-        seen: set[tuple[str, int]] = set()
+        reported: set[tuple[str, int]] = set()
         for report in event.report.tasks:
-            seen.add((report.task, report.attempt))
+            reported.add((report.task, report.attempt))
             effects += self._apply_report(book, box, report, event.wall)
         for assignment in list(box.tasks.values()):
-            if (assignment.task, assignment.attempt) not in seen:
+            if (assignment.task, assignment.attempt) not in reported:
                 effects += self._handle_missing(book, assignment, event.sent_wall)
         book.record_report(event.box, event.sent_wall, self._jobs)
         return effects
@@ -427,8 +432,8 @@
             if assignment.state == "stopping":
                 ending = assignment.stop_reason
             return [self._record_end(book, assignment, ending)]
-        dead_on_arrival = assignment.not_after + self._parameters.clock_margin_s
-        if assignment.not_after and sent_wall > dead_on_arrival:
+        latest_arrival_wall = assignment.not_after + self._parameters.clock_margin_s
+        if assignment.not_after and sent_wall > latest_arrival_wall:
             self._requeue_start(book, assignment)
         return []
 
--- a/src/granitetrestle/starts.py
+++ b/src/granitetrestle/starts.py
@@ -56,10 +56,10 @@
         book.blocked.clear()
         effects: list[Effect] = []
         for prioritized_pass in (True, False):
-            self._pass(book, now, prioritized_pass, effects)
+            self._run_pass(book, now, prioritized_pass, effects)
         return effects
 
-    def _pass(
+    def _run_pass(
         self, book: ShardBook, now: float, prioritized_pass: bool, effects: list[Effect]
     ) -> None:
         heap = [
@@ -194,9 +194,9 @@
             assignment.state = "evicting"
             assignment.stop_reason = "evicted"
             self._evictions.setdefault(assignment.account, []).append(now)
-            why = f"yields {choice.box} to {task.task}: {choice.reason}"
-            assignment.reason = why
-            effects.append(Note("evicting", victim, why, book.epoch))
+            reason = f"yields {choice.box} to {task.task}: {choice.reason}"
+            assignment.reason = reason
+            effects.append(Note("evicting", victim, reason, book.epoch))
         book.index.boxes[choice.box].next_exchange_at = now
         return f"waiting for {', '.join(choice.victims)} to leave {choice.box}"
 
@@ -236,9 +236,9 @@
 
 def never_fits(need: Vector, totals: t.Iterable[Vector]) -> bool:
     """Say that no box, even empty, could hold ``need``."""
-    seen = False
+    any_box = False
     for total in totals:
-        seen = True
+        any_box = True
         if need.fits(total):
             return False
-    return seen
+    return any_box
