--- a/src/granitetrestle/books.py
+++ b/src/granitetrestle/books.py
@@ -1,6 +1,6 @@
-"""The books of one owned shard: its boxes, what waits, what is in doubt. A new
-owner opens a book, counts everything an older epoch may have started as taken,
-and closes each doubt only with a box's own report or a lapsed lease."""
+"""State of one owned shard: its boxes, waiting tasks, and tasks that may still run
+under an older epoch. Such an uncertain task is not started by a new owner until a
+report of each box or the expiry of all older leases proves that it does not run."""
 
 import dataclasses
 import typing as t
@@ -24,15 +24,22 @@
 class ShardBook:
     """State of an owned shard under one epoch.
 
-    :param quiet_wall: wall time (s) after which no start of an older epoch can
-        still arrive.
-    :param doubt_ends_wall: wall time (s) after which every lease that an older
-        epoch granted has lapsed, even on boxes that can't be reached.
-    :param starting: boxes that a start waits for.
-    :param unheard: boxes that have not reported since ``old_starts_expired_wall``.
-    :param evacuated: nothing further starts in the data hall.
-    :param superseded: a box has shown a newer epoch; nothing is decided any more.
-    :param doubts: tasks that an older epoch may have running somewhere.
+    :param old_starts_expired_wall: wall time (s) after which no start of an older
+        epoch can arrive.
+    :param old_leases_expired_wall: wall time (s) after which all leases granted by
+        older epochs have expired, also on unreachable boxes.
+    :param box_of_task: task -> name of the box that it is assigned to.
+    :param uncertain: tasks that may still run under an older epoch.
+    :param unreconciled: boxes without a report since ``old_starts_expired_wall``.
+    :param listed: whether the platform's list of boxes has been applied.
+    :param superseded: a box reported a newer epoch; no further decisions are made.
+    :param dirty: whether anything changed since the last placement round.
+    :param evacuated: the data hall is evacuated; no tasks are started.
+    :param blocked: why no task of an account and shape could be placed in the last
+        round.
+    :param boxes_with_starts: boxes with start commands that are not sent yet.
+    :param eviction_deadlines: task -> monotonic time (s) until which it waits for
+        the tasks evicted for it to leave.
     """
 
     shard: int
@@ -54,13 +61,13 @@
     eviction_deadlines: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def load_jobs(self, jobs: Jobs) -> None:
-        """Enter every open job of the shard, as waiting or as in doubt."""
+        """Add the tasks of every open job of the shard, as waiting or as uncertain."""
         for job in jobs.open_in(self.shard).values():
             for task in job.tasks.values():
                 self.add_task(job, task)
 
     def add_task(self, job: Job, task: Task) -> None:
-        """Enter a task; an attempt older than the epoch may already run."""
+        """Add a task; it is uncertain if an older epoch may have started its attempt."""
         if task.ended or task.task in self.box_of_task:
             return
         if task.opened < self.epoch and self._reconciling():
@@ -72,7 +79,7 @@
         return not self.listed or bool(self.unreconciled)
 
     def enqueue(self, job: Job, task: Task) -> None:
-        """Let a task that provably runs nowhere wait for a box."""
+        """Enqueue a task that is proven to run nowhere."""
         self.waiting.push(
             WaitingTask(
                 task.task, task.attempt, job.job, job.account, job.spec, task.checkpoint
@@ -81,21 +88,21 @@
         self.dirty = True
 
     def set_evacuated(self, evacuated: bool) -> None:
-        """Close all boxes for new tasks, or open them again."""
+        """Close all boxes to new tasks, or open them again."""
         self.evacuated = evacuated
         for box in self.index.boxes.values():
             box.evacuated = evacuated
         self.dirty = True
 
     def add_box(self, info: BoxInfo, drained: bool) -> None:
-        """Enter a box that the list shows for the first time."""
+        """Add a box that is new in the list."""
         box = BoxState(info, self.shard, free=BoxState.total_of(info), drained=drained)
         box.evacuated = self.evacuated
         self.index.add(box)
         self.unreconciled.add(info.box)
 
     def update_box(self, box: BoxState, info: BoxInfo) -> None:
-        """Take over what the list says; a resized box is entered anew."""
+        """Apply the listed state of a box; a box of another size is added anew."""
         if BoxState.total_of(info) == box.total:
             box.info = info
             return
@@ -111,7 +118,10 @@
             self.index.adopt(fresh, assignment)
 
     def book(self, box: BoxState, assignment: Assignment, adopted: bool) -> None:
-        """Count an attempt as occupying ``box``."""
+        """Assign an attempt to ``box``.
+
+        :param adopted: it runs already, so it counts even beyond the capacity.
+        """
         if adopted:
             self.index.adopt(box, assignment)
         else:
@@ -123,7 +133,7 @@
         self.waiting.discard(assignment.task)
 
     def unbook(self, task: str) -> Assignment | None:
-        """Give back what a task had taken; ``None`` if it had nothing."""
+        """Release the assignment of a task; ``None`` if it has none."""
         name = self.box_of_task.pop(task, None)
         if name is None:
             return None
@@ -136,12 +146,12 @@
         return assignment
 
     def assignments(self) -> t.Iterator[Assignment]:
-        """Iterate over all that occupies a box of the shard."""
+        """Iterate over the assignments on all boxes of the shard."""
         for box in self.index.boxes.values():
             yield from box.tasks.values()
 
     def record_report(self, box: str, sent_wall: float, jobs: Jobs) -> None:
-        """Note a report; the last box to be heard settles all doubts."""
+        """Record a report; that of the last unreconciled box resolves uncertain tasks."""
         if sent_wall < self.old_starts_expired_wall or box not in self.unreconciled:
             return
         self.index.boxes[box].reconciled = True
@@ -150,7 +160,10 @@
         self.resolve_uncertain(jobs)
 
     def resolve_uncertain(self, jobs: Jobs) -> None:
-        """Once every box is accounted for, what was not found runs nowhere."""
+        """Enqueue the uncertain tasks once all boxes have reported.
+
+        No box reported them, so they run nowhere.
+        """
         if self._reconciling():
             return
         uncertain, self.uncertain = self.uncertain, set()
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -1,7 +1,7 @@
-"""Keeps an owner's books true to its boxes: exchanges orders for reports,
-renews leases, proves stops, and records the end of every attempt on the log. An
-attempt counts as occupying its box until a report or a lapsed lease proves that
-it does not, whatever was answered or lost on the way."""
+"""Keeps the state of owned shards in line with their boxes: sends commands, applies
+reports, renews leases, and records the end of every attempt on the log. An attempt
+counts as occupying its box until a report or an expired lease proves that it does
+not; answers can be lost, so they prove nothing."""
 
 import typing as t
 
@@ -40,9 +40,9 @@
 
 
 class Placement:
-    """The books of all shards that this process owns.
+    """State of all shards that this process owns.
 
-    :param stream: the hall's stream, for the ends of attempts.
+    :param stream: stream of the data hall, for the ends of attempts.
     """
 
     def __init__(
@@ -65,12 +65,12 @@
 
     @property
     def books(self) -> t.Mapping[int, ShardBook]:
-        """Owned shard -> its book."""
+        """Owned shard -> its state."""
         return self._books
 
     @property
     def listed(self) -> t.Mapping[str, BoxInfo] | None:
-        """The hall's boxes by the platform's list; ``None`` before a read."""
+        """Boxes in the platform's list; ``None`` before it was read."""
         return self._listed
 
     @property
@@ -84,7 +84,7 @@
         return self._evacuated
 
     def hall_evacuated(self, evacuated: bool) -> None:
-        """Apply an operator's evacuation of the hall, or its end."""
+        """Apply an operator's evacuation of the data hall, or its end."""
         self._evacuated = evacuated
         for book in self._books.values():
             book.set_evacuated(evacuated)
@@ -92,7 +92,10 @@
     def open_shard(
         self, shard: int, before: ShardState, now: float, wall: float
     ) -> list[Effect]:
-        """Open a book for a shard whose claim this process won."""
+        """Create the state of a shard whose claim this process has won.
+
+        :param before: the shard before the claim; epoch 0 if it never had an owner.
+        """
         state = self._ownership.shards[shard]
         starts_expired_wall = self._ownership.quiet_from(shard) - now + wall
         if before.epoch:
@@ -111,17 +114,19 @@
         book.load_jobs(self._jobs)
         if before.epoch == 0:
             book.old_starts_expired_wall = 0.0
-        uncertain = f"{len(book.uncertain)} tasks in doubt, {len(book.waiting)} waiting"
+        uncertain = (
+            f"{len(book.uncertain)} uncertain, {len(book.waiting)} waiting tasks"
+        )
         return [Note("shard_won", f"shard {shard}", uncertain, state.epoch)]
 
     def close_shard(self, shard: int) -> list[Effect]:
-        """Close the book; the boxes keep what runs until its leases lapse."""
+        """Drop the state of a shard; its tasks run on until their leases expire."""
         if self._books.pop(shard, None) is None:
             return []
         return [Note("shard_lost", f"shard {shard}")]
 
     def update_boxes(self, boxes: t.Sequence[BoxInfo]) -> None:
-        """Take up a reading of the platform's list."""
+        """Apply the platform's list of boxes."""
         self._listed = {info.box: info for info in boxes}
         for book in self._books.values():
             self._apply_box_list(book)
@@ -162,11 +167,11 @@
                 book.dirty = True
 
     def restore_drained(self, drained: t.Collection[str]) -> None:
-        """Take up the drained boxes of a snapshot."""
+        """Restore the drained boxes of a snapshot."""
         self._drained = set(drained)
 
     def job_submitted(self, job: Job) -> None:
-        """Enter a new job if its shard is owned here."""
+        """Add the tasks of a new job if its shard is owned here."""
         book = self._books.get(job.shard)
         if book is None:
             return
@@ -174,7 +179,7 @@
             book.add_task(job, task)
 
     def job_cancelled(self, job: Job) -> list[Effect]:
-        """Stop what runs of a job, and end what has not begun."""
+        """Stop the running tasks of a job, and end those that have not started."""
         book = self._books.get(job.shard)
         if book is None:
             return []
@@ -201,7 +206,7 @@
     def task_ended(
         self, job: Job, task: Task, fact: AttemptEnded, now: float
     ) -> list[Effect]:
-        """Follow a counted end: give back the room, let the next attempt wait."""
+        """Release the resources of an ended attempt, and enqueue the next attempt."""
         book = self._books.get(job.shard)
         if book is None:
             return []
@@ -251,7 +256,7 @@
 
     @staticmethod
     def exchange_due(box: BoxState, now: float) -> bool:
-        """Say whether an exchange with ``box`` should leave now."""
+        """Return whether an exchange with ``box`` is due."""
         if box.exchange_in_flight:
             return False
         return bool(box.starts and not box.silent) or now >= box.next_exchange_at
@@ -259,7 +264,7 @@
     def exchange(
         self, book: ShardBook, box: BoxState, now: float, wall: float
     ) -> Effect:
-        """Return the next exchange with ``box``; starts leave within the term."""
+        """Return the next exchange with ``box``; it starts tasks only within the term."""
         commands = list(box.cleanup.values())
         box.cleanup.clear()
         commands += self._start_commands(book, box, now, wall)
@@ -327,7 +332,7 @@
         return commands
 
     def box_answered(self, event: BoxAnswered) -> list[Effect]:
-        """Bring the books in line with a report."""
+        """Apply the report of a box."""
         book = self._book_of(event.box)
         if book is None:
             return []
@@ -336,7 +341,7 @@
         book.dirty |= box.silent
         box.last_report_wall = event.sent_wall
         if any(report.epoch > book.epoch for report in event.report.tasks):
-            # A newer owner works here already; the log will tell us so.
+            # The shard has a newer owner, whose claim is still to be read from the log.
             book.superseded = True
         if book.superseded:
             return []
@@ -373,9 +378,9 @@
         return [self._record_end(book, assignment, ending, report.checkpoint)]
 
     def _already_finished(self, book: ShardBook, report: TaskReport) -> Effect:
-        """Take the result of an attempt that was given up for lost too early.
+        """Apply the result of an attempt that was recorded as lost too early.
 
-        The attempt that waits has begun nowhere, so nothing runs twice.
+        The waiting attempt has not started, so no task runs twice.
         """
         waiting = book.waiting.find(report.task)
         assert waiting is not None
@@ -396,7 +401,7 @@
             return None
         job, task = found
         if task.task in book.box_of_task or task.task in book.waiting:
-            raise InvariantViolated(f"{task.task} runs in two places")
+            raise InvariantViolated(f"{task.task} also runs on {box.info.box}")
         assignment = Assignment(
             task.task,
             task.attempt,
@@ -438,7 +443,7 @@
         return []
 
     def box_failed(self, event: BoxFailed) -> None:
-        """Note a failed exchange; only what never left is given back."""
+        """Record a failed exchange; starts are requeued only if it was not sent."""
         book = self._book_of(event.box)
         if book is None:
             return
@@ -455,7 +460,7 @@
                 self._requeue_start(book, assignment)
 
     def end_lapsed(self, book: ShardBook, wall: float) -> list[Effect]:
-        """End what a silent box must have dropped, its leases having lapsed."""
+        """End the attempts on silent boxes whose leases have expired."""
         effects = self._end_lapsed_uncertain(book, wall)
         for box in book.index.boxes.values():
             for assignment in box.tasks.values():
@@ -464,10 +469,10 @@
         return effects
 
     def _end_lapsed_uncertain(self, book: ShardBook, wall: float) -> list[Effect]:
-        """End what silent boxes may have run: every older lease has lapsed.
+        """End the uncertain attempts once all leases of older epochs have expired.
 
-        The attempt is ended on the log, so that a box that comes back with its
-        result can be told from the attempt that follows.
+        The end goes on the log and the next attempt gets a new number, so a result
+        that a silent box reports later is not taken for that of the next attempt.
         """
         if not book.uncertain or wall < book.old_leases_expired_wall:
             return []
@@ -482,10 +487,10 @@
         return [AppendFacts(self._stream, tuple(facts), f"lapse/{book.shard}")]
 
     def _has_lapsed(self, assignment: Assignment, box: BoxState) -> bool:
-        """Judge by an exchange that failed after the lease must have lapsed.
+        """Return whether an exchange failed that was sent after the lease expired.
 
-        Time alone is not enough: an owner that was paused would declare lost
-        what its boxes are ready to report as finished.
+        Expiry alone is not enough: an owner that was paused would record attempts
+        as lost that its boxes are about to report as finished.
         """
         if assignment.state == "ending" or assignment.expires == 0.0:
             return False
--- a/src/granitetrestle/starts.py
+++ b/src/granitetrestle/starts.py
@@ -1,7 +1,7 @@
-"""Rounds that start waiting tasks: limits of the table first, then weighted
-dominant-resource order between accounts, then the policy's choice of a box.
-Services and urgent work go first, within their account's right, and may have
-batch work checkpointed to make room."""
+"""Placement rounds, which start waiting tasks. The limits of the table apply first,
+then weighted dominant-resource fairness between accounts, then the policy's choice
+of a box. Services, and urgent tasks within the quota of their account, are placed
+first and may evict batch tasks, which are checkpointed."""
 
 import heapq
 import typing as t
@@ -31,8 +31,9 @@
 class Starter:
     """Places waiting tasks of owned shards.
 
-    :param stream: the hall's stream, for ends of tasks that never began.
-    :param shards: shards of the hall; each grants its part of a hall's limit.
+    :param stream: stream of the data hall, for ends of tasks that never started.
+    :param shards: number of shards of the data hall; each one grants an equal part
+        of the limits and quotas of an account.
     """
 
     def __init__(
@@ -46,9 +47,10 @@
         self._evictions: dict[str, list[float]] = {}
 
     def run_round(self, book: ShardBook, now: float) -> list[Effect]:
-        """Run a round if anything changed since the last.
+        """Run a placement round if anything changed since the last one.
 
-        :returns: notes and ends; starts wait at their boxes for the exchange.
+        :returns: log notes and ends of attempts; starts are left at their boxes, to
+            be sent by the next exchange.
         """
         if not book.dirty:
             return []
@@ -140,11 +142,11 @@
         if not shape.service and not self._within_urgent_quota(
             book, task.account, shape
         ):
-            return "no box has room"
+            return "no box has enough free resources"
         return self._evict_for(book, task, now, effects)
 
     def exceeded_limit(self, book: ShardBook, account: str, need: Vector) -> str:
-        """Return which limit of the account ``need`` would pass, or nothing."""
+        """Return the account limit that ``need`` would exceed; empty if none."""
         total = book.usage.get(account, Usage()).total.plus(need)
         for column, value in (
             ("max_cores", total.cores),
@@ -180,21 +182,21 @@
         self, book: ShardBook, task: WaitingTask, now: float, effects: list[Effect]
     ) -> str:
         if now < book.eviction_deadlines.get(task.task, -1.0):
-            return "waiting for evicted work to leave"
+            return "waiting for evicted tasks to leave"
         choice = self._policy.choose_evictions(
             task.spec, book.index, now, lambda a: self._table.number(a, "eviction_cost")
         )
         if choice is None:
-            return "no box has room, nor can any be made"
+            return "no box has enough free resources, even with evictions"
         if not self._within_budget(book, choice, now):
-            return "eviction budget of the accounts that would yield is spent"
+            return "eviction budget of the accounts to evict from is spent"
         book.eviction_deadlines[task.task] = now + EVICTION_TIMEOUT_S
         for victim in choice.victims:
             assignment = book.index.boxes[choice.box].tasks[victim]
             assignment.state = "evicting"
             assignment.stop_reason = "evicted"
             self._evictions.setdefault(assignment.account, []).append(now)
-            reason = f"yields {choice.box} to {task.task}: {choice.reason}"
+            reason = f"evicted from {choice.box} for {task.task}: {choice.reason}"
             assignment.reason = reason
             effects.append(Note("evicting", victim, reason, book.epoch))
         book.index.boxes[choice.box].next_exchange_at = now
@@ -217,17 +219,17 @@
         return len(recent)
 
     def explain(self, book: ShardBook, task: str) -> str:
-        """Say why a task is where it is, or why it waits."""
+        """Return the reason why a task is on its box, or why it waits."""
         name = book.box_of_task.get(task)
         if name is not None:
             assignment = book.index.boxes[name].tasks[task]
             return f"{assignment.state} on {name}: {assignment.reason}"
         if task in book.uncertain:
             silent = ", ".join(sorted(book.unreconciled)[:5])
-            return f"may still run under an older epoch; not heard from: {silent}"
+            return f"may still run under an older epoch; no report yet from: {silent}"
         waiting = book.waiting.find(task)
         if waiting is None:
-            return "not known to this shard's owner"
+            return "unknown to the owner of this shard"
         reason = book.blocked.get((waiting.account, Shape.of(waiting.spec)))
         if book.evacuated:
             return "waiting: operators have evacuated the data hall"
@@ -235,7 +237,7 @@
 
 
 def never_fits(need: Vector, totals: t.Iterable[Vector]) -> bool:
-    """Say that no box, even empty, could hold ``need``."""
+    """Return whether ``need`` exceeds each of ``totals``; false if there are none."""
     any_box = False
     for total in totals:
         any_box = True
