--- a/src/granitetrestle/borrowing.py
+++ b/src/granitetrestle/borrowing.py
@@ -112,18 +112,20 @@
         """
         effects: list[Effect] = []
         wanted: dict[str, int] | None = None
-        blind = ownership.blind(now)
+        log_is_stale = ownership.log_is_stale(now)
         for shard, state in ownership.shards.items():
-            if not state.epoch or not self.ask_due(shard, state.epoch, blind, now):
+            if not state.epoch or not self.ask_due(
+                shard, state.epoch, log_is_stale, now
+            ):
                 continue
             if wanted is None:
                 wanted = demand()
-            supports = ownership.promise(shard, now)
+            supports = ownership.grant_support(shard, now)
             message = self.ask(shard, state.epoch, wanted, supports, now)
             effects.append(SendPeer(state.holder, message))
         return effects
 
-    def ask_due(self, shard: int, epoch: int, blind: bool, now: float) -> bool:
+    def ask_due(self, shard: int, epoch: int, log_is_stale: bool, now: float) -> bool:
         """Say whether the shard's owner should be asked now.
 
         :param blind: this process can't read the log at present.
@@ -131,7 +133,9 @@
         state = self._shards.get(shard)
         if state is None or epoch != state.epoch:
             return True
-        wait_s = self._parameters.ask_blind_s if blind else self._parameters.ask_s
+        wait_s = (
+            self._parameters.ask_blind_s if log_is_stale else self._parameters.ask_s
+        )
         return now - state.asked_at >= wait_s
 
     def _held(self, shard: int, now: float) -> dict[str, int]:
--- a/src/granitetrestle/heartbeat.py
+++ b/src/granitetrestle/heartbeat.py
@@ -15,8 +15,8 @@
 
 __all__ = ["Heartbeat"]
 
-BEAT_S = 0.8
-OWN_APPEND_AFTER_S = 1.5
+HEARTBEAT_INTERVAL_S = 0.8
+OWN_APPEND_TIMEOUT_S = 1.5
 
 
 class Heartbeat:
@@ -30,52 +30,52 @@
         self._incarnation = incarnation
         self._ownership = ownership
         self._number = 0
-        self._beat_at = -1e18
-        self._gathered: dict[str, Beat] = {}
+        self._last_sent_at = -1e18
+        self._collected: dict[str, Beat] = {}
 
-    def gather(self, beat: Beat) -> None:
+    def collect(self, beat: Beat) -> None:
         """Keep another process's beat for the next append."""
-        known = self._gathered.get(beat.node)
+        known = self._collected.get(beat.node)
         if (
             known is None
             or known.incarnation != beat.incarnation
             or known.number < beat.number
         ):
-            self._gathered[beat.node] = beat
+            self._collected[beat.node] = beat
 
-    def read_back(self, beats: t.Iterable[Beat]) -> None:
+    def remove_appended(self, beats: t.Iterable[Beat]) -> None:
         """Drop gathered beats that now stand on the log."""
         for beat in beats:
-            known = self._gathered.get(beat.node)
+            known = self._collected.get(beat.node)
             if known is not None and known.number <= beat.number:
-                del self._gathered[beat.node]
+                del self._collected[beat.node]
 
     def tick(self, now: float, config_offset: int, stopping: bool) -> list[Effect]:
         """Return what the next beat takes, if it is due."""
-        if now - self._beat_at < BEAT_S:
+        if now - self._last_sent_at < HEARTBEAT_INTERVAL_S:
             return []
-        self._beat_at = now
+        self._last_sent_at = now
         self._number += 1
         beat = Beat(
             self._node, self._incarnation, self._number, config_offset, stopping
         )
-        self._ownership.beat_sent(self._number, now)
-        gatherer = self._ownership.gatherer(now)
-        if gatherer == self._node:
+        self._ownership.record_heartbeat_sent(self._number, now)
+        aggregator = self._ownership.aggregator(now)
+        if aggregator == self._node:
             return [self._append(beat)]
-        effects: list[Effect] = [SendPeer(gatherer, BeatSent(beat))]
-        self._gathered.clear()
-        if self._overlooked(now):
+        effects: list[Effect] = [SendPeer(aggregator, BeatSent(beat))]
+        self._collected.clear()
+        if self._own_heartbeat_missing(now):
             effects.append(self._append(beat))
         return effects
 
-    def _overlooked(self, now: float) -> bool:
+    def _own_heartbeat_missing(self, now: float) -> bool:
         own = self._ownership.members.get(self._node)
         if own is None or own.beat.incarnation != self._incarnation:
             return True
-        return now - own.heard_at > OWN_APPEND_AFTER_S
+        return now - own.renewed_at > OWN_APPEND_TIMEOUT_S
 
     def _append(self, beat: Beat) -> Effect:
-        others = [b for b in self._gathered.values() if b.node != self._node]
+        others = [b for b in self._collected.values() if b.node != self._node]
         beats = (beat, *sorted(others, key=lambda b: b.node))
         return AppendFacts(self._stream, (Renewed(beats),), "beats", latest_only=True)
--- a/src/granitetrestle/ownership.py
+++ b/src/granitetrestle/ownership.py
@@ -26,10 +26,10 @@
     """
 
     term_s: float = 2.5
-    margin_s: float = 0.3
-    promise_s: float = 2.0
-    support_s: float = 1.4
-    forget_s: float = 60.0
+    clock_margin_s: float = 0.3
+    support_validity_s: float = 2.0
+    owner_silence_timeout_s: float = 1.4
+    member_timeout_s: float = 60.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -49,13 +49,13 @@
 class Member:
     """A process of the hall as its renewals on the log show it.
 
-    ``heard_at`` and ``silent_s`` are by this process's monotonic clock: the
+    ``renewed_at`` and ``silent_s`` are by this process's monotonic clock: the
     time of the reading, and for how long reads at the tail found nothing newer.
     """
 
     beat: Beat
     offset: int
-    heard_at: float
+    renewed_at: float
 
 
 class Ownership:
@@ -81,13 +81,13 @@
         self._parameters = parameters
         self._shards = {number: ShardState() for number in range(shards)}
         self._members: dict[str, Member] = {}
-        self._sent: dict[int, float] = {}
-        self._renewed_from = -1e18
+        self._heartbeats_sent_at: dict[int, float] = {}
+        self._log_lease_starts_at = -1e18
         self._tail_read_at = -1e18
-        self._tail_since = 1e18
-        self._won_at: dict[int, tuple[float, float]] = {}
+        self._tail_reads_since = 1e18
+        self._acquisitions: dict[int, tuple[float, float]] = {}
         self._nodes = frozenset(nodes)
-        self._promised: dict[int, float] = {}
+        self._support_granted_at: dict[int, float] = {}
         self._support: dict[int, dict[str, float]] = {}
 
     @property
@@ -105,27 +105,27 @@
         """Node -> last renewal read."""
         return self._members
 
-    def beat_sent(self, number: int, now: float) -> None:
+    def record_heartbeat_sent(self, number: int, now: float) -> None:
         """Remember when a sign of life left, so that its term can start there."""
-        self._sent[number] = now
-        for old in [n for n in self._sent if n < number - 64]:
-            del self._sent[old]
+        self._heartbeats_sent_at[number] = now
+        for old in [n for n in self._heartbeats_sent_at if n < number - 64]:
+            del self._heartbeats_sent_at[old]
 
-    def read_reached_tail(self, now: float) -> None:
+    def record_tail_read(self, now: float) -> None:
         """Note a successful read up to the stream's end.
 
         Silence counts only while reads succeed: an outage of the platform
         must not look like the death of every owner.
         """
         if now - self._tail_read_at > self._parameters.term_s / 2:
-            self._tail_since = now
+            self._tail_reads_since = now
         self._tail_read_at = now
 
     def apply_renewed(self, offset: int, fact: Renewed, now: float) -> None:
         """Apply a record of renewals."""
         for beat in fact.beats:
             self._renew_shards(offset, beat)
-            self._hear_member(offset, beat, now)
+            self._observe_member(offset, beat, now)
 
     def _renew_shards(self, offset: int, beat: Beat) -> None:
         # From the log alone: members are forgotten by each process's own clock,
@@ -136,7 +136,7 @@
                 shard.renewal = offset
                 shard.renewal_number = beat.number
 
-    def _hear_member(self, offset: int, beat: Beat, now: float) -> None:
+    def _observe_member(self, offset: int, beat: Beat, now: float) -> None:
         known = self._members.get(beat.node)
         same_incarnation = (
             known is not None and known.beat.incarnation == beat.incarnation
@@ -144,8 +144,13 @@
         if known is not None and same_incarnation and known.beat.number >= beat.number:
             return
         self._members[beat.node] = Member(beat, offset, now)
-        if beat.incarnation == self._incarnation and beat.number in self._sent:
-            self._renewed_from = max(self._renewed_from, self._sent[beat.number])
+        if (
+            beat.incarnation == self._incarnation
+            and beat.number in self._heartbeats_sent_at
+        ):
+            self._log_lease_starts_at = max(
+                self._log_lease_starts_at, self._heartbeats_sent_at[beat.number]
+            )
 
     def apply_claim(self, offset: int, fact: ShardClaimed, now: float) -> bool:
         """Apply a claim.
@@ -159,7 +164,10 @@
             return False
         self._support.pop(fact.shard, None)
         if fact.incarnation == self._incarnation:
-            self._won_at[fact.shard] = (now, self._quiet_from(shard, now))
+            self._acquisitions[fact.shard] = (
+                now,
+                self._predecessor_quiesced_at(shard, now),
+            )
         self._shards[fact.shard] = ShardState(
             epoch=offset,
             holder=fact.node,
@@ -169,15 +177,18 @@
         )
         return True
 
-    def _quiet_from(self, previous: ShardState, now: float) -> float:
+    def _predecessor_quiesced_at(self, previous: ShardState, now: float) -> float:
         """Return when the previous owner can have started its last work."""
         if previous.epoch == 0 or previous.released:
             return now
         member = self._members.get(previous.holder)
         if member is None or member.beat.incarnation != previous.holder_incarnation:
-            return now + self._parameters.term_s + self._parameters.margin_s
+            return now + self._parameters.term_s + self._parameters.clock_margin_s
         return max(
-            now, member.heard_at + self._parameters.term_s + self._parameters.margin_s
+            now,
+            member.renewed_at
+            + self._parameters.term_s
+            + self._parameters.clock_margin_s,
         )
 
     def apply_released(self, offset: int, fact: ShardReleased) -> bool:
@@ -198,27 +209,27 @@
             if shard.holder_incarnation == self._incarnation and not shard.released
         ]
 
-    def term_ends(self) -> float:
+    def log_lease_ends_at(self) -> float:
         """Return when this process's own term ends (monotonic seconds)."""
-        return self._renewed_from + self._parameters.term_s
+        return self._log_lease_starts_at + self._parameters.term_s
 
     def may_start(self, shard: int, now: float) -> bool:
         """Say whether this process may start new work in ``shard`` now."""
-        return now < self.right_ends(shard, now)
+        return now < self.lease_ends_at(shard, now)
 
-    def right_ends(self, shard: int, now: float) -> float:
+    def lease_ends_at(self, shard: int, now: float) -> float:
         """Return until when this process may start new work in ``shard``.
 
         That is the end of its term or, when the log is out of reach, of the
         promises that every process of the hall has made not to claim.
         """
         state = self._shards[shard]
-        won = self._won_at.get(shard)
+        acquisition = self._acquisitions.get(shard)
         if state.holder_incarnation != self._incarnation or state.released:
             return -1e18
-        if won is None or now < won[1]:
+        if acquisition is None or now < acquisition[1]:
             return -1e18
-        return max(self.term_ends(), self._support_ends(shard))
+        return max(self.log_lease_ends_at(), self._support_ends(shard))
 
     def _support_ends(self, shard: int) -> float:
         support = self._support.get(shard, {})
@@ -226,18 +237,22 @@
         if not others <= support.keys():
             return -1e18
         since = min((support[node] for node in others), default=-1e18)
-        return since + self._parameters.promise_s - self._parameters.margin_s
+        return (
+            since
+            + self._parameters.support_validity_s
+            - self._parameters.clock_margin_s
+        )
 
-    def supported(self, shard: int, node: str, since: float) -> None:
+    def record_support(self, shard: int, node: str, since: float) -> None:
         """Note a member's promise, made no earlier than ``since``."""
         known = self._support.setdefault(shard, {})
         known[node] = max(since, known.get(node, -1e18))
 
-    def blind(self, now: float) -> bool:
+    def log_is_stale(self, now: float) -> bool:
         """Say whether the log's tail was not read for a while."""
-        return now - self._tail_read_at > self._parameters.support_s
+        return now - self._tail_read_at > self._parameters.owner_silence_timeout_s
 
-    def promise(self, shard: int, now: float) -> bool:
+    def grant_support(self, shard: int, now: float) -> bool:
         """Decide whether to support the owner of ``shard``; remember if so.
 
         A member that reads the log and misses the owner's renewals there stops
@@ -245,20 +260,20 @@
         """
         state = self._shards[shard]
         member = self._members.get(state.holder)
-        heard = member is not None and (
+        renewed_recently = member is not None and (
             member.beat.incarnation == state.holder_incarnation
-            and now - member.heard_at < self._parameters.support_s
+            and now - member.renewed_at < self._parameters.owner_silence_timeout_s
         )
-        if not self.blind(now) and not heard:
+        if not self.log_is_stale(now) and not renewed_recently:
             return False
-        self._promised[shard] = now
+        self._support_granted_at[shard] = now
         return True
 
-    def quiet_from(self, shard: int) -> float:
+    def predecessor_quiesced_at(self, shard: int) -> float:
         """Return when the previous owner's last start can have been sent."""
-        return self._won_at.get(shard, (0.0, 0.0))[1]
+        return self._acquisitions.get(shard, (0.0, 0.0))[1]
 
-    def holder_gone(self, before: ShardState) -> bool:
+    def holder_was_replaced(self, before: ShardState) -> bool:
         """Say whether an earlier owner's process has provably been replaced.
 
         The platform never runs two processes under one node's name.
@@ -268,18 +283,18 @@
             member is not None and member.beat.incarnation != before.holder_incarnation
         )
 
-    def live(self, now: float) -> list[str]:
+    def live_members(self, now: float) -> list[str]:
         """Return the members heard within a term, sorted; for choosing only."""
-        limit = self._parameters.term_s + self._parameters.margin_s
+        limit = self._parameters.term_s + self._parameters.clock_margin_s
         return sorted(
             name
             for name, member in self._members.items()
-            if now - member.heard_at < limit and not member.beat.stopping
+            if now - member.renewed_at < limit and not member.beat.stopping
         )
 
-    def gatherer(self, now: float) -> str:
+    def aggregator(self, now: float) -> str:
         """Return the member that puts the hall's beats on the log."""
-        live = self.live(now)
+        live = self.live_members(now)
         return live[0] if live else self._node
 
     def claims_due(self, now: float) -> list[ShardClaimed]:
@@ -293,27 +308,32 @@
                 incarnation=self._incarnation,
             )
             for number, shard in self._shards.items()
-            if self._free(number, now) and self._preferred(number, now) == self._node
+            if self._is_claimable(number, now)
+            and self._preferred_claimant(number, now) == self._node
         ]
 
-    def _free(self, number: int, now: float) -> bool:
+    def _is_claimable(self, number: int, now: float) -> bool:
         shard = self._shards[number]
         if shard.released:
             return True
-        if now < self._promised.get(number, -1e18) + self._parameters.promise_s:
+        if (
+            now
+            < self._support_granted_at.get(number, -1e18)
+            + self._parameters.support_validity_s
+        ):
             return False
-        limit = self._parameters.term_s + self._parameters.margin_s
-        if now - self._tail_read_at > limit or now - self._tail_since < limit:
+        limit = self._parameters.term_s + self._parameters.clock_margin_s
+        if now - self._tail_read_at > limit or now - self._tail_reads_since < limit:
             return False
         member = self._members.get(shard.holder)
         if member is None or member.beat.incarnation != shard.holder_incarnation:
             return True
-        return now - member.heard_at >= limit
+        return now - member.renewed_at >= limit
 
-    def _preferred(self, number: int, now: float) -> str:
+    def _preferred_claimant(self, number: int, now: float) -> str:
         """Spread shards: the live member with fewest, ties by name."""
         shard = self._shards[number]
-        live = self.live(now)
+        live = self.live_members(now)
         if shard.heir in live:
             return shard.heir
         if not live:
@@ -323,19 +343,19 @@
             if other.holder in counts and not other.released:
                 counts[other.holder] += 1
         order = sorted(live, key=lambda name: (counts[name], name))
-        free = [n for n in self._shards if self._free(n, now)]
-        return order[free.index(number) % len(order)]
+        claimable = [n for n in self._shards if self._is_claimable(n, now)]
+        return order[claimable.index(number) % len(order)]
 
-    def forget_old(self, now: float) -> None:
+    def remove_silent_members(self, now: float) -> None:
         """Drop members that have been silent for long."""
         for name, member in list(self._members.items()):
-            if now - member.heard_at > self._parameters.forget_s:
+            if now - member.renewed_at > self._parameters.member_timeout_s:
                 del self._members[name]
 
     def restore(self, shards: t.Mapping[int, ShardState]) -> None:
         """Take up the shards of a snapshot; members are heard anew."""
         self._members.clear()
-        self._won_at.clear()
+        self._acquisitions.clear()
         self._support.clear()
         self._tail_read_at = -1e18
         for number in self._shards:
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -97,7 +97,9 @@
         :param before: the shard before the claim; epoch 0 if it never had an owner.
         """
         state = self._ownership.shards[shard]
-        starts_expired_wall = self._ownership.quiet_from(shard) - now + wall
+        starts_expired_wall = (
+            self._ownership.predecessor_quiesced_at(shard) - now + wall
+        )
         if before.epoch:
             starts_expired_wall += self._parameters.clock_margin_s
         orphan_s = 0.0 if before.released else self._parameters.orphan_s
@@ -268,7 +270,7 @@
         commands = list(box.cleanup.values())
         box.cleanup.clear()
         commands += self._start_commands(book, box, now, wall)
-        if now < self._ownership.term_ends() + self._parameters.orphan_s:
+        if now < self._ownership.log_lease_ends_at() + self._parameters.orphan_s:
             commands += self._renewal_commands(book, box, wall)
         box.exchange_in_flight = True
         box.next_exchange_at = now + self._parameters.exchange_s
@@ -280,7 +282,7 @@
         starts, box.starts = box.starts, {}
         if not starts:
             return []
-        remaining_s = self._ownership.right_ends(book.shard, now) - now
+        remaining_s = self._ownership.lease_ends_at(book.shard, now) - now
         if remaining_s <= 0.0 or book.evacuated:
             for assignment in starts.values():
                 self._requeue_start(book, assignment)
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -221,12 +221,14 @@
             offset = self._table.offset
             effects += self._heartbeat.tick(now, offset, self._stopping)
             effects += self._send_claims(now)
-        successors = [n for n in self._ownership.live(now) if n != self._setup.node]
+        successors = [
+            n for n in self._ownership.live_members(now) if n != self._setup.node
+        ]
         effects += self._owner.tick(now, event.wall, successors)
         effects += self._borrower.asks(self._ownership, self._requests.demand, now)
         effects += self._send_digests(now, event.wall)
         effects += self._write_due_snapshots(now)
-        self._ownership.forget_old(now)
+        self._ownership.remove_silent_members(now)
         return effects
 
     def _send_claims(self, now: float) -> list[Effect]:
@@ -243,7 +245,7 @@
         return effects
 
     def _send_digests(self, now: float, wall: float) -> list[Effect]:
-        if self._ownership.gatherer(now) != self._setup.node:
+        if self._ownership.aggregator(now) != self._setup.node:
             return []
         if not self._halls.due(now):
             return []
@@ -278,7 +280,7 @@
         if event.tail:
             self._streams_at_tail.add(event.stream)
             if event.stream == self._stream:
-                self._ownership.read_reached_tail(event.now)
+                self._ownership.record_tail_read(event.now)
         return effects
 
     def _snapshot_read(self, event: ev.SnapshotRead) -> list[Effect]:
@@ -311,7 +313,7 @@
 
     def _write_due_snapshots(self, now: float) -> list[Effect]:
         """Write snapshots before the log drops the records that they cover."""
-        if self._ownership.gatherer(now) != self._setup.node:
+        if self._ownership.aggregator(now) != self._setup.node:
             return []
         effects = self._write_if_due(self._stream, now)
         if self._halls.first_reachable(now) == self._setup.hall:
@@ -363,7 +365,7 @@
         match fact:
             case Renewed():
                 self._ownership.apply_renewed(offset, fact, now)
-                self._heartbeat.read_back(fact.beats)
+                self._heartbeat.remove_appended(fact.beats)
                 return []
             case AttemptEnded():
                 return self._apply_attempt_end(offset, fact, now)
@@ -436,7 +438,7 @@
         message = event.message
         match message:
             case BeatSent():
-                self._heartbeat.gather(message.beat)
+                self._heartbeat.collect(message.beat)
                 return []
             case HallDigests():
                 self._halls.heard(event.sender, message, event.now)
--- a/src/granitetrestle/shards.py
+++ b/src/granitetrestle/shards.py
@@ -84,7 +84,7 @@
         locked = now
         if before.epoch:
             orphan = 0.0 if before.released else self._parameters.orphan_s
-            quiet = self._ownership.quiet_from(shard)
+            quiet = self._ownership.predecessor_quiesced_at(shard)
             locked = quiet + orphan + self._lending_terms.loan_s
         nodes = self._ownership.nodes
         self._lenders[shard] = Lender(shard, epoch, nodes, locked, self._lending_terms)
@@ -170,8 +170,8 @@
         if message.supports and message.epoch == lender.epoch:
             since = lender.grant_sent_at(node, incarnation, message.applied)
             if since is not None:
-                self._ownership.supported(message.shard, node, since)
-        if now > self._ownership.term_ends() + self._parameters.orphan_s:
+                self._ownership.record_support(message.shard, node, since)
+        if now > self._ownership.log_lease_ends_at() + self._parameters.orphan_s:
             return None
         in_office = self._may_decide(message.shard, now)
         complete = book.listed and not book.unreconciled
@@ -218,7 +218,7 @@
         before = self._before.get(shard)
         if before is None or not before.epoch:
             return
-        if not self._ownership.holder_gone(before):
+        if not self._ownership.holder_was_replaced(before):
             return
         del self._before[shard]
         margin = self._parameters.lease_s + self._parameters.clock_margin_s
--- a/src/granitetrestle/views.py
+++ b/src/granitetrestle/views.py
@@ -217,7 +217,7 @@
 ) -> HallView:
     if hall == settings.hall:
         members = reducer.ownership.members
-        live = set(reducer.ownership.live(now))
+        live = set(reducer.ownership.live_members(now))
         offsets = {name: m.beat.config_offset for name, m in members.items()}
         offsets[settings.node] = reducer.table.offset
         owners = {n: s.holder for n, s in reducer.ownership.shards.items()}
--- a/tools/older_mutants.py
+++ b/tools/older_mutants.py
@@ -141,12 +141,12 @@
         (
             (
                 "ownership.py",
-                "return now - member.heard_at >= limit",
+                "return now - member.renewed_at >= limit",
                 "return True",
             ),
             (
                 "ownership.py",
-                "return max(now, member.heard_at + self._parameters.term_s + self._parameters.margin_s)",
+                "return max(now, member.renewed_at + self._parameters.term_s + self._parameters.clock_margin_s)",
                 "return now - 100.0",
             ),
             (
@@ -156,7 +156,7 @@
             ),
             (
                 "ownership.py",
-                "if now < self._promised.get(number, -1e18) + self._parameters.promise_s:",
+                "if now < self._support_granted_at.get(number, -1e18) + self._parameters.support_validity_s:",
                 "if False:",
             ),
         ),
