--- a/src/granitetrestle/heartbeat.py
+++ b/src/granitetrestle/heartbeat.py
@@ -1,7 +1,9 @@
-"""Signs of life. Each process numbers its beats; one process of the hall, the
-gatherer, puts all of them on the log in one small append, so that renewing the
-terms of a whole hall costs about one append a second. A process whose beat does
-not show up in time appends its own."""
+"""Heartbeats of a data hall's processes, which renew their ownership leases.
+
+Each process numbers its heartbeats. One process of the hall, the aggregator,
+appends all of them to the log in one small append, so that renewing the leases
+of a whole hall costs about one append a second. A process whose heartbeat does
+not appear on the log in time appends its own."""
 
 import typing as t
 
@@ -20,7 +22,7 @@
 
 
 class Heartbeat:
-    """This process's beats, and those it gathers for others."""
+    """This process's heartbeats, and those that it collects from others."""
 
     def __init__(
         self, stream: str, node: str, incarnation: str, ownership: Ownership
@@ -34,7 +36,7 @@
         self._collected: dict[str, Beat] = {}
 
     def collect(self, beat: Beat) -> None:
-        """Keep another process's beat for the next append."""
+        """Keep another process's heartbeat for the next append."""
         known = self._collected.get(beat.node)
         if (
             known is None
@@ -44,14 +46,18 @@
             self._collected[beat.node] = beat
 
     def remove_appended(self, beats: t.Iterable[Beat]) -> None:
-        """Drop gathered beats that now stand on the log."""
+        """Remove collected heartbeats that have appeared on the log."""
         for beat in beats:
             known = self._collected.get(beat.node)
             if known is not None and known.number <= beat.number:
                 del self._collected[beat.node]
 
     def tick(self, now: float, config_offset: int, stopping: bool) -> list[Effect]:
-        """Return what the next beat takes, if it is due."""
+        """Return the effects of the next heartbeat if it is due.
+
+        :param config_offset: offset up to which this process's table is applied.
+        :param stopping: whether this process is in a planned stop.
+        """
         if now - self._last_sent_at < HEARTBEAT_INTERVAL_S:
             return []
         self._last_sent_at = now
--- a/src/granitetrestle/ownership.py
+++ b/src/granitetrestle/ownership.py
@@ -1,7 +1,9 @@
-"""Who decides for a shard of a hall's boxes, worked out from the hall's stream
-alone, plus the terms that each process keeps by its own monotonic clock. The
-lowest claim that names the current epoch wins; nobody votes and nothing but the
-platform's log is asked (see docs/ownership.md for the ways weighed)."""
+"""Ownership of the shards of a data hall's boxes, and the owners' leases.
+
+The owner of a shard follows from the hall's log stream alone: the lowest claim
+that names the current epoch wins. There is no vote, and no service but the
+platform's log is involved (see docs/ownership.md for the alternatives). Each
+process measures its ownership lease by its own monotonic clock."""
 
 import dataclasses
 import typing as t
@@ -17,12 +19,14 @@
 class OwnershipParameters(t.NamedTuple):
     """Durations in seconds.
 
-    :param term_s: how long a read-back renewal lets an owner start work.
-    :param margin_s: allowance for clock rate and scheduling pauses.
-    :param promise_s: how long a member that supports an owner will not claim.
-    :param support_s: silence of an owner after which a member that can read the
-        log supports it no longer.
-    :param forget_s: silence after which a member is dropped from the view.
+    :param term_s: ownership lease; an owner may start work for this long after it
+        sent a heartbeat that it has since read back from the log.
+    :param clock_margin_s: allowance for clock rate and scheduling pauses.
+    :param support_validity_s: how long a member that supports an owner will not
+        claim its shard.
+    :param owner_silence_timeout_s: silence of an owner after which a member that
+        can read the log supports it no longer.
+    :param member_timeout_s: silence after which a member is removed.
     """
 
     term_s: float = 2.5
@@ -34,7 +38,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ShardState:
-    """What the log says of a shard. All fields follow from a prefix of it."""
+    """State of a shard, derived from a prefix of the log alone."""
 
     epoch: int = 0
     holder: str = ""
@@ -47,10 +51,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """A process of the hall as its renewals on the log show it.
+    """A process of the hall and its newest renewal on the log.
 
-    ``renewed_at`` and ``silent_s`` are by this process's monotonic clock: the
-    time of the reading, and for how long reads at the tail found nothing newer.
+    :param offset: of the record that holds the renewal.
+    :param renewed_at: when this process read the renewal (monotonic seconds).
     """
 
     beat: Beat
@@ -59,13 +63,13 @@
 
 
 class Ownership:
-    """The hall's shards, members, and this process's own terms.
+    """The hall's shards and members, and this process's own ownership leases.
 
     :param node: this process's name.
     :param incarnation: differs each time a process starts.
     :param shards: how many shards the hall has.
-    :param nodes: every process that the settings name for this hall; only one
-        of them can ever claim.
+    :param nodes: every process that the settings name for this hall; no other
+        process can claim a shard.
     """
 
     def __init__(
@@ -92,7 +96,7 @@
 
     @property
     def shards(self) -> t.Mapping[int, ShardState]:
-        """Shard number -> state by the log."""
+        """Shard number -> state derived from the log."""
         return self._shards
 
     @property
@@ -102,20 +106,20 @@
 
     @property
     def members(self) -> t.Mapping[str, Member]:
-        """Node -> last renewal read."""
+        """Node -> member with its newest renewal."""
         return self._members
 
     def record_heartbeat_sent(self, number: int, now: float) -> None:
-        """Remember when a sign of life left, so that its term can start there."""
+        """Record when a heartbeat was sent, since the lease counts from then."""
         self._heartbeats_sent_at[number] = now
         for old in [n for n in self._heartbeats_sent_at if n < number - 64]:
             del self._heartbeats_sent_at[old]
 
     def record_tail_read(self, now: float) -> None:
-        """Note a successful read up to the stream's end.
+        """Record a successful read up to the stream's end.
 
-        Silence counts only while reads succeed: an outage of the platform
-        must not look like the death of every owner.
+        Silence counts only while reads succeed: otherwise an outage of the
+        platform would look like the failure of every owner.
         """
         if now - self._tail_read_at > self._parameters.term_s / 2:
             self._tail_reads_since = now
@@ -128,8 +132,8 @@
             self._observe_member(offset, beat, now)
 
     def _renew_shards(self, offset: int, beat: Beat) -> None:
-        # From the log alone: members are forgotten by each process's own clock,
-        # and claims must win or lose alike everywhere.
+        # Uses the log alone: each process removes members by its own clock, while
+        # every process must accept or reject the same claims.
         for shard in self._shards.values():
             held = shard.holder_incarnation == beat.incarnation
             if held and beat.number > shard.renewal_number:
@@ -155,7 +159,7 @@
     def apply_claim(self, offset: int, fact: ShardClaimed, now: float) -> bool:
         """Apply a claim.
 
-        :returns: whether it won and so changed the epoch to ``offset``.
+        :returns: whether the claim won, which sets the epoch to ``offset``.
         """
         shard = self._shards.get(fact.shard)
         if shard is None or fact.previous_epoch != shard.epoch:
@@ -178,7 +182,7 @@
         return True
 
     def _predecessor_quiesced_at(self, previous: ShardState, now: float) -> float:
-        """Return when the previous owner can have started its last work."""
+        """Return the time after which the previous owner starts no more work."""
         if previous.epoch == 0 or previous.released:
             return now
         member = self._members.get(previous.holder)
@@ -192,7 +196,10 @@
         )
 
     def apply_released(self, offset: int, fact: ShardReleased) -> bool:
-        """Apply a release; returns whether it counted."""
+        """Apply a release.
+
+        :returns: whether it named the current epoch and took effect.
+        """
         shard = self._shards.get(fact.shard)
         if shard is None or fact.epoch != shard.epoch:
             return False
@@ -202,7 +209,7 @@
         return True
 
     def owned(self) -> list[int]:
-        """Return the shards whose current epoch this process holds."""
+        """Return the shards that this process owns."""
         return [
             number
             for number, shard in self._shards.items()
@@ -210,18 +217,20 @@
         ]
 
     def log_lease_ends_at(self) -> float:
-        """Return when this process's own term ends (monotonic seconds)."""
+        """Return when the lease from log renewals ends (monotonic seconds)."""
         return self._log_lease_starts_at + self._parameters.term_s
 
     def may_start(self, shard: int, now: float) -> bool:
-        """Say whether this process may start new work in ``shard`` now."""
+        """Return whether this process may start new work in ``shard`` now."""
         return now < self.lease_ends_at(shard, now)
 
     def lease_ends_at(self, shard: int, now: float) -> float:
         """Return until when this process may start new work in ``shard``.
 
-        That is the end of its term or, when the log is out of reach, of the
-        promises that every process of the hall has made not to claim.
+        That is the later of two ends: that of the lease from log renewals, and
+        that of the support of all other processes of the hall, which have
+        promised not to claim. Support keeps an owner working when the log is
+        unreachable. In monotonic seconds.
         """
         state = self._shards[shard]
         acquisition = self._acquisitions.get(shard)
@@ -244,19 +253,22 @@
         )
 
     def record_support(self, shard: int, node: str, since: float) -> None:
-        """Note a member's promise, made no earlier than ``since``."""
+        """Record a member's promise not to claim, made no earlier than ``since``."""
         known = self._support.setdefault(shard, {})
         known[node] = max(since, known.get(node, -1e18))
 
     def log_is_stale(self, now: float) -> bool:
-        """Say whether the log's tail was not read for a while."""
+        """Return whether the last read of the log's tail is too long ago."""
         return now - self._tail_read_at > self._parameters.owner_silence_timeout_s
 
     def grant_support(self, shard: int, now: float) -> bool:
-        """Decide whether to support the owner of ``shard``; remember if so.
+        """Promise not to claim ``shard`` for a while, unless its owner is silent.
+
+        A member that reads the log and finds no recent renewal of the owner
+        stops supporting it. A member that can't read the log could not claim
+        anyway, so it always supports the owner.
 
-        A member that reads the log and misses the owner's renewals there stops
-        supporting it; one that can't read the log could not claim anyway.
+        :returns: whether support was granted.
         """
         state = self._shards[shard]
         member = self._members.get(state.holder)
@@ -270,11 +282,11 @@
         return True
 
     def predecessor_quiesced_at(self, shard: int) -> float:
-        """Return when the previous owner's last start can have been sent."""
+        """Return the time after which the previous owner sends no more starts."""
         return self._acquisitions.get(shard, (0.0, 0.0))[1]
 
     def holder_was_replaced(self, before: ShardState) -> bool:
-        """Say whether an earlier owner's process has provably been replaced.
+        """Return whether an earlier owner's process has provably been replaced.
 
         The platform never runs two processes under one node's name.
         """
@@ -284,7 +296,10 @@
         )
 
     def live_members(self, now: float) -> list[str]:
-        """Return the members heard within a term, sorted; for choosing only."""
+        """Return the members that renewed within a lease and its margin, sorted.
+
+        For choosing among members only: processes may disagree on it.
+        """
         limit = self._parameters.term_s + self._parameters.clock_margin_s
         return sorted(
             name
@@ -293,7 +308,7 @@
         )
 
     def aggregator(self, now: float) -> str:
-        """Return the member that puts the hall's beats on the log."""
+        """Return the member that appends the hall's heartbeats to the log."""
         live = self.live_members(now)
         return live[0] if live else self._node
 
@@ -331,7 +346,11 @@
         return now - member.renewed_at >= limit
 
     def _preferred_claimant(self, number: int, now: float) -> str:
-        """Spread shards: the live member with fewest, ties by name."""
+        """Return the live member that should claim a shard.
+
+        The successor that a release names comes first. Otherwise shards are
+        spread over the members that own the fewest, ties by name.
+        """
         shard = self._shards[number]
         live = self.live_members(now)
         if shard.heir in live:
@@ -347,13 +366,13 @@
         return order[claimable.index(number) % len(order)]
 
     def remove_silent_members(self, now: float) -> None:
-        """Drop members that have been silent for long."""
+        """Remove members without a renewal for ``member_timeout_s``."""
         for name, member in list(self._members.items()):
             if now - member.renewed_at > self._parameters.member_timeout_s:
                 del self._members[name]
 
     def restore(self, shards: t.Mapping[int, ShardState]) -> None:
-        """Take up the shards of a snapshot; members are heard anew."""
+        """Restore shards from a snapshot; members are learned from new renewals."""
         self._members.clear()
         self._acquisitions.clear()
         self._support.clear()
--- a/tools/older_mutants.py
+++ b/tools/older_mutants.py
@@ -146,7 +146,7 @@
             ),
             (
                 "ownership.py",
-                "return max(now, member.renewed_at + self._parameters.term_s + self._parameters.clock_margin_s)",
+                "return max(\n            now,\n            member.renewed_at\n            + self._parameters.term_s\n            + self._parameters.clock_margin_s,\n        )",
                 "return now - 100.0",
             ),
             (
@@ -156,7 +156,7 @@
             ),
             (
                 "ownership.py",
-                "if now < self._support_granted_at.get(number, -1e18) + self._parameters.support_validity_s:",
+                "if (\n            now\n            < self._support_granted_at.get(number, -1e18)\n            + self._parameters.support_validity_s\n        ):",
                 "if False:",
             ),
         ),
