--- a/src/granitetrestle/access.py
+++ b/src/granitetrestle/access.py
@@ -14,7 +14,7 @@
 __all__ = ["Access", "Role"]
 
 OPERATOR: t.Final = "operator"
-BEARER: t.Final = "Bearer "
+BEARER_PREFIX: t.Final = "Bearer "
 
 
 class Role(enum.Enum):
@@ -39,14 +39,14 @@
         self._peer = settings.peer_token.encode()
         self._table = table
 
-    def caller(self, authorization: str) -> Caller:
+    def authenticate(self, authorization: str) -> Caller:
         """Return who sent the ``Authorization`` header.
 
         :raises AccessDenied: if the token is missing or wrong.
         """
-        if not authorization.startswith(BEARER):
+        if not authorization.startswith(BEARER_PREFIX):
             raise AccessDenied("no bearer token", "send Authorization: Bearer TOKEN")
-        name, _, secret = authorization[len(BEARER) :].partition(".")
+        name, _, secret = authorization[len(BEARER_PREFIX) :].partition(".")
         given = hashlib.sha256(secret.encode()).hexdigest()
         if name == OPERATOR:
             if hmac.compare_digest(given, self._operator):
@@ -58,7 +58,7 @@
             return Caller(Role.ACCOUNT, name)
         raise AccessDenied("wrong token", "check the account's token")
 
-    def operator(self, authorization: str) -> None:
+    def require_operator(self, authorization: str) -> None:
         """Let only operators pass.
 
         :raises AccessDenied: for everybody else.
--- a/src/granitetrestle/api.py
+++ b/src/granitetrestle/api.py
@@ -61,10 +61,10 @@
 
 __all__ = ["Api", "make_app"]
 
-MAX_BODY = 256 * 1024
+MAX_BODY_BYTES = 256 * 1024
 RELAY_TIMEOUT_S = 6.0
 MAX_RELAYS = 2
-RELAYED: t.Final = "x-granitetrestle-relayed"
+RELAY_COUNT_HEADER: t.Final = "x-granitetrestle-relayed"
 T = t.TypeVar("T")
 
 
@@ -166,7 +166,7 @@
     ) -> Route:
         name = f"{method} {path}"
 
-        async def guarded(request: Request) -> Response:
+        async def handle_errors(request: Request) -> Response:
             carrier = {"traceparent": request.headers.get("traceparent", "")}
             tracer = self._engine.telemetry.tracer
             with tracer.start_as_current_span(
@@ -177,7 +177,7 @@
                 except GranitetrestleError as error:
                     return _error_response(error)
 
-        return Route(path, guarded, methods=[method])
+        return Route(path, handle_errors, methods=[method])
 
     async def _health(self, request: Request) -> Response:
         return _json({"alive": True})
@@ -186,42 +186,42 @@
         ready = self._engine.reducer.ready
         return _json({"ready": ready}, 200 if ready else 503)
 
-    def _caller(self, request: Request) -> str:
+    def _account(self, request: Request) -> str:
         """Return the account, or nothing for an operator."""
         authorization = request.headers.get("authorization", "")
-        return self._access.caller(authorization).account
+        return self._access.authenticate(authorization).account
 
-    def _operator(self, request: Request) -> None:
-        self._access.operator(request.headers.get("authorization", ""))
+    def _require_operator(self, request: Request) -> None:
+        self._access.require_operator(request.headers.get("authorization", ""))
 
-    async def _body(self, request: Request, kind: type[T]) -> T:
+    async def _body(self, request: Request, body_type: type[T]) -> T:
         data = b""
         async for chunk in request.stream():
             data += chunk
-            if len(data) > MAX_BODY:
-                raise InvalidInput(f"a body has up to {MAX_BODY} bytes")
+            if len(data) > MAX_BODY_BYTES:
+                raise InvalidInput(f"a body has up to {MAX_BODY_BYTES} bytes")
         try:
-            return msgspec.json.decode(data, type=kind)
+            return msgspec.json.decode(data, type=body_type)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise InvalidInput(f"bad body: {error}") from error
 
     async def _table(self, request: Request) -> Response:
-        caller = self._access.caller(request.headers.get("authorization", ""))
-        only = caller.account if caller.role is Role.ACCOUNT else ""
-        view: TableView = table_view(self._engine.reducer, only)
+        caller = self._access.authenticate(request.headers.get("authorization", ""))
+        only_account = caller.account if caller.role is Role.ACCOUNT else ""
+        view: TableView = table_view(self._engine.reducer, only_account)
         return _json(view)
 
     async def _edit_table(self, request: Request) -> Response:
-        self._operator(request)
+        self._require_operator(request)
         body = await self._body(request, TableEdits)
         check_edits(body.edits)
         name = f"edit-{uuid.uuid4().hex}"
         event = TableEditAsked(time.monotonic(), name, tuple(body.edits))
-        done = raise_unless_accepted(await self._engine.ask(name, event))
-        return _json(AcceptedView(done.subject, done.offset))
+        accepted = raise_unless_accepted(await self._engine.ask(name, event))
+        return _json(AcceptedView(accepted.subject, accepted.offset))
 
     async def _submit(self, request: Request) -> Response:
-        account = self._caller(request)
+        account = self._account(request)
         if not account:
             raise AccessDenied("jobs are submitted by accounts", "use their token")
         spec = await self._body(request, JobSpec)
@@ -229,18 +229,18 @@
         name = f"job-{uuid.uuid4().hex}"
         job = f"{self._engine.settings.hall}.{uuid.uuid4().hex[:12]}"
         event = JobSubmitAsked(time.monotonic(), name, job, account, spec)
-        done = raise_unless_accepted(await self._engine.ask(name, event))
+        accepted = raise_unless_accepted(await self._engine.ask(name, event))
         self._engine.telemetry.log.info(
             "job_accepted",
             account=account,
-            job=done.subject,
-            offset=done.offset,
+            job=accepted.subject,
+            offset=accepted.offset,
             trace=trace_id(),
         )
-        return _json(AcceptedView(done.subject, done.offset), 201)
+        return _json(AcceptedView(accepted.subject, accepted.offset), 201)
 
     async def _jobs(self, request: Request) -> Response:
-        account = self._caller(request)
+        account = self._account(request)
         hall = request.query_params.get("hall", "")
         if hall and hall != self._engine.settings.hall:
             return await self._relay_to_hall(request, hall)
@@ -250,14 +250,14 @@
         ]
         return _json(views)
 
-    def _find(self, request: Request) -> Job | None:
+    def _find_job(self, request: Request) -> Job | None:
         """Return the job, or ``None`` if another hall has it.
 
         :raises NotFound: if there is none, or it belongs to another account.
         """
-        account = self._caller(request)
+        account = self._account(request)
         name = request.path_params["job"]
-        if _hall_of(name) != self._engine.settings.hall:
+        if _hall_of_job(name) != self._engine.settings.hall:
             return None
         job = self._engine.reducer.jobs.jobs.get(name)
         if job is None or account not in ("", job.account):
@@ -265,22 +265,22 @@
         return job
 
     async def _job(self, request: Request) -> Response:
-        job = self._find(request)
+        job = self._find_job(request)
         if job is None:
             return await self._relay_job(request)
         return _json(job_view(job))
 
     async def _cancel(self, request: Request) -> Response:
-        job = self._find(request)
+        job = self._find_job(request)
         if job is None:
             return await self._relay_job(request)
         name = f"cancel-{uuid.uuid4().hex}"
         event = JobCancelAsked(time.monotonic(), name, job.job, job.account)
-        done = raise_unless_accepted(await self._engine.ask(name, event))
-        return _json(AcceptedView(done.subject, done.offset))
+        accepted = raise_unless_accepted(await self._engine.ask(name, event))
+        return _json(AcceptedView(accepted.subject, accepted.offset))
 
     async def _explain(self, request: Request) -> Response:
-        job = self._find(request)
+        job = self._find_job(request)
         if job is None:
             return await self._relay_job(request)
         reasons = self._engine.reducer.explain(job)
@@ -292,7 +292,9 @@
         return await self._relay(request, [owner])
 
     async def _relay_job(self, request: Request) -> Response:
-        return await self._relay_to_hall(request, _hall_of(request.path_params["job"]))
+        return await self._relay_to_hall(
+            request, _hall_of_job(request.path_params["job"])
+        )
 
     async def _relay_to_hall(
         self, request: Request, hall: str, body: bytes = b""
@@ -306,12 +308,12 @@
         self, request: Request, nodes: t.Sequence[str], body: bytes = b""
     ) -> Response:
         # Once to the hall, and once there to the shard's owner.
-        relays = _relays(request)
+        relays = _relay_count(request)
         if relays >= MAX_RELAYS:
             raise UnreachableError("the shard's owner has just changed", "try again")
         headers = [
             (b"authorization", request.headers.get("authorization", "").encode()),
-            (RELAYED.encode(), str(relays + 1).encode()),
+            (RELAY_COUNT_HEADER.encode(), str(relays + 1).encode()),
         ]
         carrier: dict[str, str] = {}
         PROPAGATOR.inject(carrier)
@@ -334,11 +336,11 @@
         raise UnreachableError(f"can't reach {names}", "the hall may be cut off")
 
     async def _services(self, request: Request) -> Response:
-        self._caller(request)
+        self._account(request)
         return _json(service_views(self._engine.reducer))
 
     async def _boxes(self, request: Request) -> Response:
-        self._operator(request)
+        self._require_operator(request)
         hall = request.query_params.get("hall", "")
         if hall and hall != self._engine.settings.hall:
             return await self._relay_to_hall(request, hall)
@@ -346,7 +348,7 @@
         return _json(boxes)
 
     async def _drain(self, request: Request) -> Response:
-        self._operator(request)
+        self._require_operator(request)
         body = await self._body(request, DrainBody)
         hall = request.query_params.get("hall", "")
         if hall and hall != self._engine.settings.hall:
@@ -355,11 +357,11 @@
         name = f"drain-{uuid.uuid4().hex}"
         box = request.path_params["box"]
         event = BoxDrainAsked(time.monotonic(), name, box, body.drained)
-        done = raise_unless_accepted(await self._engine.ask(name, event))
-        return _json(AcceptedView(done.subject, done.offset))
+        accepted = raise_unless_accepted(await self._engine.ask(name, event))
+        return _json(AcceptedView(accepted.subject, accepted.offset))
 
     async def _evacuate(self, request: Request) -> Response:
-        self._operator(request)
+        self._require_operator(request)
         body = await self._body(request, EvacuateBody)
         hall = request.path_params["hall"]
         if hall != self._engine.settings.hall:
@@ -367,21 +369,21 @@
             return await self._relay_to_hall(request, hall, content)
         name = f"evacuate-{uuid.uuid4().hex}"
         event = HallEvacuateAsked(time.monotonic(), name, body.evacuated)
-        done = raise_unless_accepted(await self._engine.ask(name, event))
-        return _json(AcceptedView(done.subject, done.offset))
+        accepted = raise_unless_accepted(await self._engine.ask(name, event))
+        return _json(AcceptedView(accepted.subject, accepted.offset))
 
     async def _status(self, request: Request) -> Response:
-        self._caller(request)
+        self._account(request)
         view: StatusView = status_view(self._engine.reducer, self._engine.settings)
         return _json(view)
 
 
-def _relays(request: Request) -> int:
-    text = request.headers.get(RELAYED, "0")
+def _relay_count(request: Request) -> int:
+    text = request.headers.get(RELAY_COUNT_HEADER, "0")
     return int(text) if text in ("0", "1") else MAX_RELAYS
 
 
-def _hall_of(job: str) -> str:
+def _hall_of_job(job: str) -> str:
     return job.partition(".")[0]
 
 
@@ -398,7 +400,7 @@
     call_path = CallPath(engine, access)
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
-        if scope["type"] == "http" and _is_call(scope):
+        if scope["type"] == "http" and _is_service_call(scope):
             await call_path(scope, receive, send)
             return
         await admin(scope, receive, send)
@@ -406,7 +408,7 @@
     return app
 
 
-def _is_call(scope: Scope) -> bool:
+def _is_service_call(scope: Scope) -> bool:
     path: str = scope["path"]
     return bool(
         scope["method"] == "POST"
--- a/src/granitetrestle/callpath.py
+++ b/src/granitetrestle/callpath.py
@@ -147,7 +147,7 @@
         if peer:
             return headers.get(ACCOUNT, b"").decode("latin-1")
         authorization = headers.get(b"authorization", b"").decode("latin-1")
-        caller = self._access.caller(authorization)
+        caller = self._access.authenticate(authorization)
         if caller.role is not Role.ACCOUNT:
             raise AccessDenied("services are called by accounts")
         return caller.account
--- a/src/granitetrestle/cli.py
+++ b/src/granitetrestle/cli.py
@@ -23,8 +23,8 @@
 __all__ = ["main"]
 
 ENV_PREFIX = "GRANITETRESTLE_"
-WAIT_S = 20.0
-POLL_S = 0.1
+IN_FORCE_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.1
 # Instead of a job: sum up all that ended in the logs.
 ALL_JOBS = "all"
 Rows: t.TypeAlias = list[list[t.Any]]
@@ -43,8 +43,8 @@
 
     words: tuple[str, ...]
     arguments: tuple[str, ...]
-    meaning: str
-    define: t.Callable[[flags.FlagValues], None]
+    summary: str
+    define_flags: t.Callable[[flags.FlagValues], None]
     run: t.Callable[[Client, list[str], t.Any], Result]
 
 
@@ -82,7 +82,7 @@
         "seen_version": version,
     }
     answer = client.call("PATCH", "/v1/table", {"edits": [edit]})
-    answer |= _in_force(client, answer["offset"], options.wait)
+    answer |= _wait_until_in_force(client, answer["offset"], options.wait)
     header = ["ACCEPTED AT", "IN FORCE", "NOT YET", "UNREACHABLE HALLS"]
     row = [
         answer["offset"],
@@ -100,19 +100,21 @@
         return text
 
 
-def _in_force(client: Client, offset: int, wait: bool) -> dict[str, list[str]]:
+def _wait_until_in_force(
+    client: Client, offset: int, wait: bool
+) -> dict[str, list[str]]:
     """Ask where the change is in force until it is, wherever it can be."""
-    give_up = time.monotonic() + WAIT_S
+    deadline = time.monotonic() + IN_FORCE_TIMEOUT_S
     while True:
         status = client.call("GET", "/v1/status")
         nodes = [n for hall in status["halls"] for n in hall["nodes"]]
-        done = [n["node"] for n in nodes if (n["offset"] or 0) >= offset]
+        in_force = [n["node"] for n in nodes if (n["offset"] or 0) >= offset]
         late = [n["node"] for n in nodes if (n["offset"] or 0) < offset]
-        dead = {n["node"] for n in nodes if not n["live"]}
+        not_live = {n["node"] for n in nodes if not n["live"]}
         halls = [h["hall"] for h in status["halls"] if not h["reachable"]]
-        if not wait or set(late) <= dead or time.monotonic() > give_up:
-            return {"in_force": done, "pending": late, "unreachable": halls}
-        time.sleep(POLL_S)
+        if not wait or set(late) <= not_live or time.monotonic() > deadline:
+            return {"in_force": in_force, "pending": late, "unreachable": halls}
+        time.sleep(POLL_INTERVAL_S)
 
 
 def _job_flags(values: flags.FlagValues) -> None:
@@ -152,14 +154,14 @@
 def _job_show(client: Client, args: list[str], options: t.Any) -> Result:
     answer = client.call("GET", f"/v1/jobs/{args[0]}")
     rows = [
-        [x["task"], x["attempt"], _state(x), x["evictions"], x["failures"]]
+        [x["task"], x["attempt"], _task_state(x), x["evictions"], x["failures"]]
         for x in answer["tasks"]
     ]
     header = ["TASK", "ATTEMPT", "STATE", "EVICTIONS", "FAILURES"]
     return Result(answer, header, rows)
 
 
-def _state(task: dict[str, t.Any]) -> str:
+def _task_state(task: dict[str, t.Any]) -> str:
     return str(task["last_ending"]) if task["ended"] else "open"
 
 
@@ -248,14 +250,14 @@
 
 
 def _hall_evacuate(client: Client, args: list[str], options: t.Any) -> Result:
-    return _hall_order(client, args[0], True)
+    return _send_directive(client, args[0], True)
 
 
 def _hall_restore(client: Client, args: list[str], options: t.Any) -> Result:
-    return _hall_order(client, args[0], False)
+    return _send_directive(client, args[0], False)
 
 
-def _hall_order(client: Client, hall: str, evacuated: bool) -> Result:
+def _send_directive(client: Client, hall: str, evacuated: bool) -> Result:
     answer = client.call("PATCH", f"/v1/halls/{hall}", {"evacuated": evacuated})
     return Result(answer, ["HALL", "OFFSET"], [[answer["subject"], answer["offset"]]])
 
@@ -288,14 +290,14 @@
     if args[0] == ALL_JOBS and not options.logs:
         raise InvalidInput("to sum up all jobs give their logs with --logs")
     if args[0] == ALL_JOBS:
-        return _sum_up(options.logs)
+        return _summarize_logs(options.logs)
     if options.logs:
         return _explain_from_logs(args[0], options.logs)
     answer = client.call("GET", f"/v1/jobs/{args[0]}/explain")
     return Result(answer, ["TASK", "WHY"], [[k, v] for k, v in answer.items()])
 
 
-def _sum_up(paths: list[str]) -> Result:
+def _summarize_logs(paths: list[str]) -> Result:
     queues = queue_times(read_lines(paths))
     if not queues:
         raise NotFound("no job ended in these logs", "give the logs of all machines")
@@ -309,12 +311,12 @@
 
 
 def _explain_from_logs(job: str, paths: list[str]) -> Result:
-    moments = timeline(job, read_lines(paths))
+    timeline_entries = timeline(job, read_lines(paths))
     rows = [
         [m.at, m.node, m.about, m.event, msgspec.json.encode(m.inputs).decode()]
-        for m in moments
+        for m in timeline_entries
     ]
-    answer = [moment._asdict() for moment in moments]
+    answer = [timeline_entry._asdict() for timeline_entry in timeline_entries]
     return Result(answer, ["AT", "NODE", "ABOUT", "EVENT", "INPUTS"], rows)
 
 
@@ -363,7 +365,7 @@
 )
 
 
-def _find(words: list[str]) -> Command | None:
+def _find_command(words: list[str]) -> Command | None:
     for command in COMMANDS:
         if tuple(words[: len(command.words)]) == command.words:
             return command
@@ -374,7 +376,7 @@
     lines = ["usage: granitetrestle COMMAND [ARGUMENTS] [--json] [--help]", ""]
     for command in COMMANDS:
         words = " ".join((*command.words, *command.arguments))
-        lines.append(f"  {words:40} {command.meaning}")
+        lines.append(f"  {words:40} {command.summary}")
     lines += [
         "",
         "  --entries IP:PORT,...   (GRANITETRESTLE_ENTRIES) entries or the balancer",
@@ -393,10 +395,10 @@
     flags.DEFINE_list("entries", entries, "entry addresses", flag_values=values)
     flags.DEFINE_string("token", token, "bearer token", flag_values=values)
     flags.DEFINE_bool("json", False, "print the answer as JSON", flag_values=values)
-    command.define(values)
+    command.define_flags(values)
     if {"--help", "-h"} & set(argv):
         words = " ".join((*command.words, *command.arguments))
-        print(f"usage: granitetrestle {words}\n{command.meaning}\n")
+        print(f"usage: granitetrestle {words}\n{command.summary}\n")
         print(values.get_help())
         raise SystemExit(0)
     try:
@@ -405,23 +407,26 @@
         raise InvalidInput(str(error)) from error
     args = rest[1:]
     if len(args) != len(command.arguments):
-        wanted = " ".join(command.arguments) or "none"
-        raise InvalidInput(f"arguments of {' '.join(command.words)}: {wanted}")
+        expected = " ".join(command.arguments) or "none"
+        raise InvalidInput(f"arguments of {' '.join(command.words)}: {expected}")
     return args, values
 
 
-def _print(result: Result, as_json: bool) -> None:
+def _print_result(result: Result, as_json: bool) -> None:
     if as_json:
         print(msgspec.json.encode(result.answer).decode())
         return
-    table = [result.header, *([_text(cell) for cell in row] for row in result.rows)]
+    table = [
+        result.header,
+        *([_cell_text(cell) for cell in row] for row in result.rows),
+    ]
     widths = [max(len(row[i]) for row in table) for i in range(len(result.header))]
     for row in table:
         cells = (cell.ljust(width) for cell, width in zip(row, widths, strict=True))
         print("  ".join(cells).rstrip())
 
 
-def _text(cell: t.Any) -> str:
+def _cell_text(cell: t.Any) -> str:
     if cell is None:
         return "-"
     return f"{cell:g}" if isinstance(cell, float) else str(cell)
@@ -429,14 +434,14 @@
 
 def run(argv: list[str]) -> int:
     """Run one command; returns the exit code."""
-    command = _find(argv)
+    command = _find_command(argv)
     if command is None:
         print(_usage())
         return 0 if not argv or argv[0] in ("--help", "-h", "help") else 2
     try:
         args, options = _parse(command, argv[len(command.words) :])
         client = Client(options.entries, options.token)
-        _print(command.run(client, args, options), options.json)
+        _print_result(command.run(client, args, options), options.json)
     except GranitetrestleError as error:
         step = f"\n  next: {error.next_step}" if error.next_step else ""
         print(f"granitetrestle: {error.code}: {error.message}{step}", file=sys.stderr)
--- a/src/granitetrestle/client.py
+++ b/src/granitetrestle/client.py
@@ -12,10 +12,10 @@
 
 __all__ = ["Client"]
 
-TIMEOUT_S = 10.0
-TYPES: t.Final[dict[str, type[GranitetrestleError]]] = {
-    kind.code: kind
-    for kind in (
+CALL_TIMEOUT_S = 10.0
+ERROR_TYPES: t.Final[dict[str, type[GranitetrestleError]]] = {
+    error_type.code: error_type
+    for error_type in (
         errors.InvalidInput,
         errors.AccessDenied,
         errors.NotFound,
@@ -71,7 +71,7 @@
             f"http://{entry}{path}",
             headers=headers,
             content=None if body is None else msgspec.json.encode(body),
-            extensions={"timeout": dict.fromkeys(names, TIMEOUT_S)},
+            extensions={"timeout": dict.fromkeys(names, CALL_TIMEOUT_S)},
         )
 
     @staticmethod
@@ -84,7 +84,7 @@
             return answer
         code = answer.get("error", "") if isinstance(answer, dict) else ""
         if code == errors.NotRunError.code:
-            after = float(dict(response.headers).get(b"retry-after", b"1"))
-            raise errors.NotRunError(answer["message"], after)
-        kind = TYPES.get(code, GranitetrestleError)
-        raise kind(answer.get("message", ""), answer.get("next_step", ""))
+            retry_after_s = float(dict(response.headers).get(b"retry-after", b"1"))
+            raise errors.NotRunError(answer["message"], retry_after_s)
+        error_type = ERROR_TYPES.get(code, GranitetrestleError)
+        raise error_type(answer.get("message", ""), answer.get("next_step", ""))
--- a/src/granitetrestle/collector.py
+++ b/src/granitetrestle/collector.py
@@ -5,11 +5,11 @@
 import gc
 import typing as t
 
-__all__ = ["made_to_stay", "take_back"]
+__all__ = ["freeze_allocations", "unfreeze_allocations"]
 
 
 @contextlib.contextmanager
-def made_to_stay() -> t.Iterator[None]:
+def freeze_allocations() -> t.Iterator[None]:
     """Collect nothing while much is made, and leave that out from then on. To take up
     the records of 56,000 running tasks took 2.1 s of processor time with the collector
     and 0.6 s without; one collection afterwards took 0.9 s."""
@@ -21,6 +21,6 @@
         gc.enable()
 
 
-def take_back() -> None:
+def unfreeze_allocations() -> None:
     """Let what was made to stay go like everything else, once it is of no use."""
     gc.unfreeze()
--- a/src/granitetrestle/daemon.py
+++ b/src/granitetrestle/daemon.py
@@ -27,9 +27,9 @@
 
 __all__ = ["main"]
 
-KEEP_ALIVE_S = 5
-MAX_CONCURRENT = 8192
-READY_POLL_S = 0.6
+KEEP_ALIVE_TIMEOUT_S = 5
+MAX_CONCURRENCY = 8192
+SERVER_STOP_WAIT_S = 0.6
 
 
 def _setup(settings: Settings) -> Setup:
@@ -64,8 +64,8 @@
         lifespan="off",
         log_config=None,
         access_log=False,
-        timeout_keep_alive=KEEP_ALIVE_S,
-        limit_concurrency=MAX_CONCURRENT,
+        timeout_keep_alive=KEEP_ALIVE_TIMEOUT_S,
+        limit_concurrency=MAX_CONCURRENCY,
         server_header=False,
     )
     server = EmbeddedServer(config)
@@ -76,7 +76,7 @@
         await _wait_for_signal()
         await engine.stop()
         server.should_exit = True
-        await anyio.sleep(READY_POLL_S)
+        await anyio.sleep(SERVER_STOP_WAIT_S)
         tasks.cancel_scope.cancel()
     engine.close()
     telemetry.provider.shutdown()
--- a/src/granitetrestle/embedded.py
+++ b/src/granitetrestle/embedded.py
@@ -9,7 +9,7 @@
 __all__ = ["EmbeddedServer"]
 
 # uvicorn itself looks ten times a second, which costs an idle process processor time.
-TICK_S: t.Final = 0.5
+STOP_CHECK_INTERVAL_S: t.Final = 0.5
 
 
 class EmbeddedServer(uvicorn.Server):
@@ -24,4 +24,4 @@
         """Look for the stop less often than uvicorn does, to idle cheaply."""
         while not self.should_exit:
             await self.on_tick(0)
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(STOP_CHECK_INTERVAL_S)
--- a/src/granitetrestle/session.py
+++ b/src/granitetrestle/session.py
@@ -10,8 +10,8 @@
 
 from . import steadyclock
 from .boxpoller import BoxPoller
-from .collector import made_to_stay
-from .collector import take_back
+from .collector import freeze_allocations
+from .collector import unfreeze_allocations
 from .commandwindow import CommandWindow
 from .commandwindow import UnlimitedWindow
 from .decisions import GATED
@@ -208,7 +208,7 @@
                 ready()
         finally:
             self._over = True
-            take_back()
+            unfreeze_allocations()
             for caller in self._callers.values():
                 caller.changed.set()
 
@@ -221,7 +221,7 @@
         now = time.monotonic()
         state = read.pop(JOBS_TOPIC)
         records, end = len(state.records), state.end
-        with made_to_stay():
+        with freeze_allocations():
             self._journal.start_from(state.records)
             restoring = self._scheduler.restore_in_slices(state.records, now)
             del state
--- a/src/granitetrestle/settings.py
+++ b/src/granitetrestle/settings.py
@@ -14,9 +14,9 @@
 __all__ = ["Address", "PeerAddress", "Settings", "load_settings"]
 
 ENV_PREFIX = "GRANITETRESTLE_"
-NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,30}")
-SHA256 = re.compile(r"[0-9a-f]{64}")
-MIN_TOKEN = 16
+NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,30}")
+SHA256_PATTERN = re.compile(r"[0-9a-f]{64}")
+MIN_TOKEN_LENGTH = 16
 LOG_LEVELS = ("debug", "info", "warning", "error")
 
 
@@ -61,7 +61,7 @@
     stop_grace_s: float
 
 
-def _define(values: flags.FlagValues) -> None:
+def _define_flags(values: flags.FlagValues) -> None:
     text = [
         ("node", "", "name of this process, unique in the system"),
         ("hall", "", "data hall of this process"),
@@ -97,7 +97,7 @@
     :raises SettingsError: with every problem found.
     """
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
-    _define(values)
+    _define_flags(values)
     from_env = [
         f"--{name}={env[ENV_PREFIX + name.upper()]}"
         for name in sorted(values)
@@ -114,7 +114,7 @@
 def _check(values: flags.FlagValues, problems: list[str]) -> Settings:
     get = values.flag_values_dict().get
     for name in ("node", "hall"):
-        if not NAME.fullmatch(str(get(name))):
+        if not NAME_PATTERN.fullmatch(str(get(name))):
             problems.append(f"--{name}: needs a name of a-z, 0-9 and -")
     addresses = {
         name: _address(name, str(get(name)), problems)
@@ -168,7 +168,7 @@
         head, _, tail = entry.partition("=")
         node, _, hall = head.partition("@")
         zmq, _, http = tail.partition("|")
-        if not NAME.fullmatch(node) or not NAME.fullmatch(hall):
+        if not NAME_PATTERN.fullmatch(node) or not NAME_PATTERN.fullmatch(hall):
             problems.append(f"--peers: {entry!r} is not NODE@HALL=ZMQ|HTTP")
             continue
         peers.append(
@@ -207,9 +207,9 @@
 
 
 def _check_secrets(values: flags.FlagValues, problems: list[str]) -> None:
-    if len(values.peer_token) < MIN_TOKEN:
-        problems.append(f"--peer_token: needs at least {MIN_TOKEN} characters")
-    if not SHA256.fullmatch(values.operator_token_sha256):
+    if len(values.peer_token) < MIN_TOKEN_LENGTH:
+        problems.append(f"--peer_token: needs at least {MIN_TOKEN_LENGTH} characters")
+    if not SHA256_PATTERN.fullmatch(values.operator_token_sha256):
         problems.append("--operator_token_sha256: needs 64 hex digits")
     if values.log_level not in LOG_LEVELS:
         problems.append(f"--log_level: one of {', '.join(LOG_LEVELS)}")
@@ -218,7 +218,7 @@
 def usage() -> str:
     """Return the help text of the daemon."""
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
-    _define(values)
+    _define_flags(values)
     values.mark_as_parsed()
     note = f"Each flag can be set as {ENV_PREFIX}<FLAG> in the environment."
     return f"granitetrestled: one entry process.\n{values.get_help()}\n{note}"
--- a/src/granitetrestle/table.py
+++ b/src/granitetrestle/table.py
@@ -20,7 +20,7 @@
 
 NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
 MAX_EDITS = 500
-MAX_TEXT = 128
+MAX_TEXT_LENGTH = 128
 
 
 class Column(t.NamedTuple):
@@ -93,8 +93,8 @@
 
 
 def _check_text(column: Column, value: CellValue) -> None:
-    if not isinstance(value, str) or len(value) > MAX_TEXT:
-        raise InvalidInput(f"{column.name} takes a text of up to {MAX_TEXT}")
+    if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
+        raise InvalidInput(f"{column.name} takes a text of up to {MAX_TEXT_LENGTH}")
     if not re.fullmatch(column.pattern, value):
         raise InvalidInput(f"{column.name} must match {column.pattern}")
 
@@ -113,24 +113,24 @@
     rows: dict[str, dict[str, Cell]] = dataclasses.field(default_factory=dict)
     offset: int = 0
 
-    def apply(self, offset: int, fact: TableEdited) -> Outcome:
+    def apply(self, offset: int, change: TableEdited) -> Outcome:
         """Apply one change at its place in the log.
 
         :param offset: the record's offset; must grow from call to call.
         :returns: accepted, or rejected as invalid or as the loser of a race.
         """
         try:
-            check_edits(fact.edits)
+            check_edits(change.edits)
         except InvalidInput as error:
             return Rejected(Reason.INVALID, error.message)
-        for edit in fact.edits:
+        for edit in change.edits:
             current = self.cell(edit.account, edit.column)
             if current.version != edit.seen_version:
                 return Rejected(Reason.CONFLICT, _conflict_text(edit, current))
-        for edit in fact.edits:
+        for edit in change.edits:
             row = self.rows.setdefault(edit.account, {})
             row[edit.column] = Cell(edit.value, offset)
-        return Accepted(f"{len(fact.edits)} cell(s)", offset)
+        return Accepted(f"{len(change.edits)} cell(s)", offset)
 
     def restore(self, rows: dict[str, dict[str, Cell]], offset: int) -> None:
         """Take up a snapshot that is newer than what is in force here."""
--- a/src/granitetrestle/telemetry.py
+++ b/src/granitetrestle/telemetry.py
@@ -24,7 +24,7 @@
 __all__ = ["Metrics", "Telemetry", "start_telemetry", "trace_id"]
 
 PROPAGATOR: t.Final = TraceContextTextMapPropagator()
-EXPORT_EVERY_MS = 500
+SPAN_EXPORT_INTERVAL_MS = 500
 
 
 class _JsonLinesExporter(SpanExporter):
@@ -109,7 +109,7 @@
     provider = TracerProvider(resource=resource, sampler=sampler)
     exporter = _JsonLinesExporter(settings.trace_file)
     provider.add_span_processor(
-        BatchSpanProcessor(exporter, schedule_delay_millis=EXPORT_EVERY_MS)
+        BatchSpanProcessor(exporter, schedule_delay_millis=SPAN_EXPORT_INTERVAL_MS)
     )
     tracer = provider.get_tracer("granitetrestle")
     return Telemetry(log, Metrics(settings), tracer, provider)
--- a/src/granitetrestle/views.py
+++ b/src/granitetrestle/views.py
@@ -127,10 +127,10 @@
     halls: list[HallView]
 
 
-def table_view(reducer: Reducer, only: str) -> TableView:
+def table_view(reducer: Reducer, only_account: str) -> TableView:
     """Return the table, or just the row of one account."""
     table = reducer.table
-    accounts = [a for a in table.accounts() if only in ("", a)]
+    accounts = [a for a in table.accounts() if only_account in ("", a)]
     rows: dict[str, dict[str, CellView]] = {}
     for account in accounts:
         rows[account] = {}
--- a/tools/recovery_mutants.py
+++ b/tools/recovery_mutants.py
@@ -235,7 +235,7 @@
     ),
     Mutant(
         "native: limits: what a deposed decider knew stays",
-        (("session.py", "            take_back()\n", ""),),
+        (("session.py", "            unfreeze_allocations()\n", ""),),
         "take_over_pages",
     ),
     Mutant(
