--- a/src/granitetrestle/access.py
+++ b/src/granitetrestle/access.py
@@ -63,7 +63,7 @@
 
         :raises AccessDenied: for everybody else.
         """
-        if self.caller(authorization).role is not Role.OPERATOR:
+        if self.authenticate(authorization).role is not Role.OPERATOR:
             raise AccessDenied("only operators may do this", "use their token")
 
     def is_peer(self, token: bytes) -> bool:
