--- a/src/granitetrestle/access.py
+++ b/src/granitetrestle/access.py
@@ -1,6 +1,6 @@
-"""Who is calling: an account by its bearer token, an operator by another, a peer
-process by the shared secret. Only hashes of tokens are kept, and all comparisons
-take constant time."""
+"""Authentication of callers: accounts and operators by bearer tokens, peer processes
+by the shared secret. Only hashes of bearer tokens are kept, and all comparisons take
+constant time."""
 
 import enum
 import hashlib
@@ -18,14 +18,14 @@
 
 
 class Role(enum.Enum):
-    """What a caller may do."""
+    """Role of a caller, which decides what it may do."""
 
     ACCOUNT = "account"
     OPERATOR = "operator"
 
 
 class Caller(t.NamedTuple):
-    """A proven caller; ``account`` is empty for an operator."""
+    """An authenticated caller; ``account`` is empty for an operator."""
 
     role: Role
     account: str
@@ -40,8 +40,9 @@
         self._table = table
 
     def authenticate(self, authorization: str) -> Caller:
-        """Return who sent the ``Authorization`` header.
+        """Return the caller that an ``Authorization`` header identifies.
 
+        :param authorization: value of the header.
         :raises AccessDenied: if the token is missing or wrong.
         """
         if not authorization.startswith(BEARER_PREFIX):
@@ -53,19 +54,20 @@
                 return Caller(Role.OPERATOR, "")
             raise AccessDenied("wrong token", "check the operators' token")
         expected = str(self._table.cell(name, "token_sha256").value)
-        # An account without a token compares against a value no hash can have.
+        # An account without a token is compared with a value that no hash can have.
         if hmac.compare_digest(given, expected or "-" * len(given)):
             return Caller(Role.ACCOUNT, name)
         raise AccessDenied("wrong token", "check the account's token")
 
     def require_operator(self, authorization: str) -> None:
-        """Let only operators pass.
+        """Check that the caller is an operator.
 
-        :raises AccessDenied: for everybody else.
+        :param authorization: value of the ``Authorization`` header.
+        :raises AccessDenied: if the caller is not an operator or its token is wrong.
         """
         if self.authenticate(authorization).role is not Role.OPERATOR:
-            raise AccessDenied("only operators may do this", "use their token")
+            raise AccessDenied("only operators may do this", "use the operators' token")
 
     def is_peer(self, token: bytes) -> bool:
-        """Say whether a request comes from another process of the system."""
+        """Return whether a request's token is the one that processes share."""
         return bool(token) and hmac.compare_digest(token, self._peer)
--- a/src/granitetrestle/api.py
+++ b/src/granitetrestle/api.py
@@ -1,6 +1,6 @@
-"""The administration API for accounts and operators: table, jobs, services,
-boxes and status. What concerns another hall, or another process's shard, is
-relayed to a process that can answer."""
+"""Administration API for accounts and operators: table, jobs, services, boxes, halls
+and status. Requests about another hall, or about a shard that another process owns,
+are relayed to a process that can answer."""
 
 import time
 import typing as t
@@ -63,31 +63,32 @@
 
 MAX_BODY_BYTES = 256 * 1024
 RELAY_TIMEOUT_S = 6.0
+# One relay to the hall, and one there to the shard's owner.
 MAX_RELAYS = 2
 RELAY_COUNT_HEADER: t.Final = "x-granitetrestle-relayed"
 T = t.TypeVar("T")
 
 
 class TableEdits(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of a change of the table."""
+    """Request body that changes cells of the table."""
 
     edits: list[CellEdit]
 
 
 class DrainBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of a drain."""
+    """Request body that drains a box or ends its drain."""
 
     drained: bool
 
 
 class EvacuateBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of an evacuation."""
+    """Request body that evacuates or restores a hall."""
 
     evacuated: bool
 
 
 class AcceptedView(msgspec.Struct):
-    """Answer to an accepted change: where its record stands on the log."""
+    """Answer to an accepted change: its subject and the log offset of its record."""
 
     subject: str
     offset: int
@@ -110,7 +111,7 @@
 def raise_unless_accepted(outcome: Outcome) -> Accepted:
     """Return an accepted outcome.
 
-    :raises GranitetrestleError: the typed error that fits any other outcome.
+    :raises GranitetrestleError: the typed error of any other outcome.
     """
     match outcome:
         case Accepted():
@@ -119,10 +120,10 @@
             reason = outcome.reason.value
             raise NotRunError(f"not run: {reason}", outcome.retry_after_s)
         case Unknown():
-            step = "look whether it took effect before you repeat it"
+            step = "check whether it took effect before you repeat it"
             raise OutcomeUnknown(f"unknown: {outcome.detail}", step)
         case Rejected(reason=Reason.CONFLICT):
-            step = "read the table again and decide anew"
+            step = "read the table again and retry with the current version"
             raise ConflictError(outcome.detail, step)
         case Rejected(reason=Reason.NOT_FOUND):
             raise NotFound(outcome.detail)
@@ -133,7 +134,7 @@
 
 
 class Api:
-    """Handlers of the administration API."""
+    """Request handlers of the administration API."""
 
     def __init__(self, engine: Engine, access: Access) -> None:
         self._engine = engine
@@ -187,7 +188,7 @@
         return _json({"ready": ready}, 200 if ready else 503)
 
     def _account(self, request: Request) -> str:
-        """Return the account, or nothing for an operator."""
+        """Return the caller's account, or an empty string for an operator."""
         authorization = request.headers.get("authorization", "")
         return self._access.authenticate(authorization).account
 
@@ -199,7 +200,7 @@
         async for chunk in request.stream():
             data += chunk
             if len(data) > MAX_BODY_BYTES:
-                raise InvalidInput(f"a body has up to {MAX_BODY_BYTES} bytes")
+                raise InvalidInput(f"the body exceeds {MAX_BODY_BYTES} bytes")
         try:
             return msgspec.json.decode(data, type=body_type)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -223,7 +224,9 @@
     async def _submit(self, request: Request) -> Response:
         account = self._account(request)
         if not account:
-            raise AccessDenied("jobs are submitted by accounts", "use their token")
+            raise AccessDenied(
+                "only accounts may submit jobs", "use an account's token"
+            )
         spec = await self._body(request, JobSpec)
         check_spec(spec)
         name = f"job-{uuid.uuid4().hex}"
@@ -251,9 +254,9 @@
         return _json(views)
 
     def _find_job(self, request: Request) -> Job | None:
-        """Return the job, or ``None`` if another hall has it.
+        """Return the job, or ``None`` if it belongs to another hall.
 
-        :raises NotFound: if there is none, or it belongs to another account.
+        :raises NotFound: if the job does not exist or belongs to another account.
         """
         account = self._account(request)
         name = request.path_params["job"]
@@ -307,10 +310,11 @@
     async def _relay(
         self, request: Request, nodes: t.Sequence[str], body: bytes = b""
     ) -> Response:
-        # Once to the hall, and once there to the shard's owner.
         relays = _relay_count(request)
         if relays >= MAX_RELAYS:
-            raise UnreachableError("the shard's owner has just changed", "try again")
+            raise UnreachableError(
+                f"relayed {relays} times: the shard's owner has changed", "try again"
+            )
         headers = [
             (b"authorization", request.headers.get("authorization", "").encode()),
             (RELAY_COUNT_HEADER.encode(), str(relays + 1).encode()),
@@ -331,9 +335,9 @@
             if not isinstance(reply, CallFailure):
                 return Response(reply.body, reply.status, media_type="application/json")
             if reply.proof.may_have_run and request.method != "GET":
-                raise OutcomeUnknown("the other process did not answer")
+                raise OutcomeUnknown(f"process {node} did not answer")
         names = ", ".join(nodes)
-        raise UnreachableError(f"can't reach {names}", "the hall may be cut off")
+        raise UnreachableError(f"can't reach {names}", "the hall may be disconnected")
 
     async def _services(self, request: Request) -> Response:
         self._account(request)
@@ -388,14 +392,17 @@
 
 
 def columns() -> list[ColumnView]:
-    """Return what each column of the table holds."""
+    """Return the description of each column of the table."""
     return [ColumnView(c.name, c.default, c.unit, c.meaning) for c in COLUMNS.values()]
 
 
 def make_app(
     engine: Engine, access: Access
 ) -> t.Callable[[Scope, Receive, Send], t.Awaitable[None]]:
-    """Return the ASGI application: the hot path first, then the rest."""
+    """Return the ASGI application.
+
+    Calls of services bypass Starlette, since they are the hot path.
+    """
     admin = Starlette(routes=Api(engine, access).routes())
     call_path = CallPath(engine, access)
 
--- a/src/granitetrestle/cli.py
+++ b/src/granitetrestle/cli.py
@@ -1,6 +1,6 @@
-"""``granitetrestle``: the command line for accounts and operators. Every command
-prints a table for people, or with ``--json`` the answer itself, and exits with a
-code that tells the kind of failure."""
+"""``granitetrestle``: command line for accounts and operators. Every command prints
+a table, or with ``--json`` the answer itself, and its exit code gives the kind of
+failure."""
 
 import os
 import sys
@@ -25,13 +25,13 @@
 ENV_PREFIX = "GRANITETRESTLE_"
 IN_FORCE_TIMEOUT_S = 20.0
 POLL_INTERVAL_S = 0.1
-# Instead of a job: sum up all that ended in the logs.
+# Given in place of a job: summarize all jobs that ended in the logs.
 ALL_JOBS = "all"
 Rows: t.TypeAlias = list[list[t.Any]]
 
 
 class Result(t.NamedTuple):
-    """What a command prints: the answer, and the same as a table."""
+    """Output of a command: the answer, and its table."""
 
     answer: t.Any
     header: list[str]
@@ -39,7 +39,7 @@
 
 
 class Command(t.NamedTuple):
-    """One command: its words, arguments, meaning, flags and function."""
+    """A command: its words, arguments, summary, flags and function."""
 
     words: tuple[str, ...]
     arguments: tuple[str, ...]
@@ -64,9 +64,14 @@
 
 def _table_flags(values: flags.FlagValues) -> None:
     flags.DEFINE_integer(
-        "version", None, "version you saw; default: read now", flag_values=values
+        "version",
+        None,
+        "expected version of the cell; default: the current one",
+        flag_values=values,
+    )
+    flags.DEFINE_bool(
+        "wait", True, "wait until the change is in force", flag_values=values
     )
-    flags.DEFINE_bool("wait", True, "wait until in force", flag_values=values)
 
 
 def _table_set(client: Client, args: list[str], options: t.Any) -> Result:
@@ -103,7 +108,11 @@
 def _wait_until_in_force(
     client: Client, offset: int, wait: bool
 ) -> dict[str, list[str]]:
-    """Ask where the change is in force until it is, wherever it can be."""
+    """Wait until a change is in force in all live processes that can be reached.
+
+    :param offset: log offset of the change.
+    :param wait: whether to wait, for up to ``IN_FORCE_TIMEOUT_S``, or ask just once.
+    """
     deadline = time.monotonic() + IN_FORCE_TIMEOUT_S
     while True:
         status = client.call("GET", "/v1/status")
@@ -119,13 +128,18 @@
 
 def _job_flags(values: flags.FlagValues) -> None:
     flags.DEFINE_float("cores", 1.0, "processors of a task", flag_values=values)
-    flags.DEFINE_float("memory_gb", 1.0, "memory of a task", flag_values=values)
+    flags.DEFINE_float("memory_gb", 1.0, "memory of a task in GB", flag_values=values)
     flags.DEFINE_integer(
         "accelerators", 0, "accelerators of a task", flag_values=values
     )
     flags.DEFINE_integer("tasks", 1, "number of tasks", flag_values=values)
-    flags.DEFINE_float("run_s", 0.0, "declared run time", flag_values=values)
-    flags.DEFINE_bool("urgent", False, "start ahead of others", flag_values=values)
+    flags.DEFINE_float("run_s", 0.0, "declared run time in seconds", flag_values=values)
+    flags.DEFINE_bool(
+        "urgent",
+        False,
+        "start before the account's other jobs; may evict batch",
+        flag_values=values,
+    )
 
 
 def _submit(client: Client, options: t.Any, kind: str, service: str) -> Result:
@@ -227,7 +241,7 @@
 
 
 def _drain_flags(values: flags.FlagValues) -> None:
-    flags.DEFINE_bool("undo", False, "give the box back", flag_values=values)
+    flags.DEFINE_bool("undo", False, "end the drain", flag_values=values)
 
 
 def _box_drain(client: Client, args: list[str], options: t.Any) -> Result:
@@ -282,13 +296,13 @@
 
 def _explain_flags(values: flags.FlagValues) -> None:
     flags.DEFINE_list(
-        "logs", [], "log files of all machines: explain from them", flag_values=values
+        "logs", [], "log files of all boxes, to explain from", flag_values=values
     )
 
 
 def _explain(client: Client, args: list[str], options: t.Any) -> Result:
     if args[0] == ALL_JOBS and not options.logs:
-        raise InvalidInput("to sum up all jobs give their logs with --logs")
+        raise InvalidInput("explain all needs the log files of all boxes (--logs)")
     if args[0] == ALL_JOBS:
         return _summarize_logs(options.logs)
     if options.logs:
@@ -300,7 +314,7 @@
 def _summarize_logs(paths: list[str]) -> Result:
     queues = queue_times(read_lines(paths))
     if not queues:
-        raise NotFound("no job ended in these logs", "give the logs of all machines")
+        raise NotFound("no job ended in these logs", "give the logs of all boxes")
     rows = [
         [q.queue, q.jobs, q.failed, q.late, q.took_s, *q.phases.values()]
         for q in queues
@@ -342,23 +356,33 @@
     ),
     Command(("service", "list"), (), "list services", _no_flags, _service_list),
     Command(("box", "list"), (), "list boxes", _box_flags, _box_list),
-    Command(("box", "drain"), ("BOX",), "empty a box", _drain_flags, _box_drain),
+    Command(("box", "drain"), ("BOX",), "drain a box", _drain_flags, _box_drain),
     Command(("hall", "list"), (), "list data halls", _no_flags, _hall_list),
     Command(
         ("hall", "evacuate"),
         ("HALL",),
-        "let nothing further start in a hall",
+        "evacuate a hall: nothing further starts there",
         _no_flags,
         _hall_evacuate,
     ),
     Command(
-        ("hall", "restore"), ("HALL",), "use a hall again", _no_flags, _hall_restore
+        ("hall", "restore"),
+        ("HALL",),
+        "restore an evacuated hall",
+        _no_flags,
+        _hall_restore,
+    ),
+    Command(
+        ("status",),
+        (),
+        "show halls, shard owners and table offsets",
+        _no_flags,
+        _status,
     ),
-    Command(("status",), (), "halls, owners, offsets", _no_flags, _status),
     Command(
         ("explain",),
         ("JOB",),
-        "why a job is where it is; with all: where all jobs spent their time",
+        "explain a job's state; with all: how all jobs spent their time",
         _explain_flags,
         _explain,
     ),
@@ -379,11 +403,11 @@
         lines.append(f"  {words:40} {command.summary}")
     lines += [
         "",
-        "  --entries IP:PORT,...   (GRANITETRESTLE_ENTRIES) entries or the balancer",
+        "  --entries IP:PORT,...   (GRANITETRESTLE_ENTRIES) entries or the load balancer",
         "  --token NAME.SECRET     (GRANITETRESTLE_TOKEN) account or operator",
         "",
         "exit codes: 0 done, 2 bad input, 3 access denied, 4 not found, 5 conflict,",
-        "            6 not run (repeat later), 7 unknown (look first), 8 unreachable",
+        "            6 not run (retry later), 7 unknown (check first), 8 unreachable",
     ]
     return "\n".join(lines)
 
@@ -392,7 +416,12 @@
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
     entries = os.environ.get(f"{ENV_PREFIX}ENTRIES", "127.0.0.1:8080")
     token = os.environ.get(f"{ENV_PREFIX}TOKEN", "")
-    flags.DEFINE_list("entries", entries, "entry addresses", flag_values=values)
+    flags.DEFINE_list(
+        "entries",
+        entries,
+        "addresses of entries or of the load balancer",
+        flag_values=values,
+    )
     flags.DEFINE_string("token", token, "bearer token", flag_values=values)
     flags.DEFINE_bool("json", False, "print the answer as JSON", flag_values=values)
     command.define_flags(values)
@@ -408,7 +437,9 @@
     args = rest[1:]
     if len(args) != len(command.arguments):
         expected = " ".join(command.arguments) or "none"
-        raise InvalidInput(f"arguments of {' '.join(command.words)}: {expected}")
+        raise InvalidInput(
+            f"arguments of {' '.join(command.words)}: {expected}, not {len(args)}"
+        )
     return args, values
 
 
@@ -433,7 +464,7 @@
 
 
 def run(argv: list[str]) -> int:
-    """Run one command; returns the exit code."""
+    """Run one command and return the exit code."""
     command = _find_command(argv)
     if command is None:
         print(_usage())
@@ -450,7 +481,7 @@
 
 
 def main() -> None:
-    """Entry point of the command line."""
+    """Run the command line and exit with its exit code."""
     sys.exit(run(sys.argv[1:]))
 
 
--- a/src/granitetrestle/client.py
+++ b/src/granitetrestle/client.py
@@ -1,4 +1,4 @@
-"""The command line's HTTP client: tries the entries in turn, and turns error
+"""HTTP client of the command line. It tries the entries in turn and converts error
 bodies back into the package's typed errors."""
 
 import typing as t
@@ -41,8 +41,12 @@
     def call(self, method: str, path: str, body: t.Any = None) -> t.Any:
         """Make a call and return the decoded answer.
 
-        :raises GranitetrestleError: the typed error that was answered, or
-            :class:`UnreachableError` if no entry took the connection.
+        A call other than GET is not repeated at the next entry once it may have been
+        sent, since it may have taken effect.
+
+        :raises UnreachableError: if no entry accepted the connection or answered.
+        :raises OutcomeUnknown: if a call other than GET was sent and not answered.
+        :raises GranitetrestleError: the typed error in the answer.
         """
         problem = "no entries given"
         for entry in self._entries:
@@ -56,10 +60,11 @@
                     problem = f"{entry}: {error!r}"
                     continue
                 raise errors.OutcomeUnknown(
-                    f"{entry} did not answer", "look before you repeat it"
+                    f"{entry} did not answer",
+                    "check whether it took effect before you repeat it",
                 ) from error
             return self._decode(response)
-        raise UnreachableError(problem, "set --entries to processes that run")
+        raise UnreachableError(problem, "set --entries to running processes")
 
     def _send(
         self, entry: str, method: str, path: str, body: t.Any
@@ -79,7 +84,9 @@
         try:
             answer = msgspec.json.decode(response.content)
         except msgspec.DecodeError as error:
-            raise UnreachableError(f"not our answer ({response.status})") from error
+            raise UnreachableError(
+                f"the answer (status {response.status}) is not JSON"
+            ) from error
         if response.status < 300:
             return answer
         code = answer.get("error", "") if isinstance(answer, dict) else ""
--- a/src/granitetrestle/collector.py
+++ b/src/granitetrestle/collector.py
@@ -1,5 +1,5 @@
-"""Keeps the garbage collector off what stays. It walks all that was made, again and
-again, and the event loop stands still meanwhile."""
+"""Excludes long-lived objects from garbage collection. Each collection walks all
+tracked objects, and the event loop is blocked meanwhile."""
 
 import contextlib
 import gc
@@ -10,9 +10,11 @@
 
 @contextlib.contextmanager
 def freeze_allocations() -> t.Iterator[None]:
-    """Collect nothing while much is made, and leave that out from then on. To take up
-    the records of 56,000 running tasks took 2.1 s of processor time with the collector
-    and 0.6 s without; one collection afterwards took 0.9 s."""
+    """Disable the collector within the block and freeze all objects at its end.
+
+    Loading the records of 56,000 running tasks takes 2.1 s of processor time with the
+    collector and 0.6 s without; one collection of the loaded objects takes 0.9 s.
+    """
     gc.disable()
     try:
         yield
@@ -22,5 +24,5 @@
 
 
 def unfreeze_allocations() -> None:
-    """Let what was made to stay go like everything else, once it is of no use."""
+    """Make frozen objects collectable again, once they are no longer used."""
     gc.unfreeze()
--- a/src/granitetrestle/daemon.py
+++ b/src/granitetrestle/daemon.py
@@ -1,6 +1,6 @@
-"""``granitetrestled``: one entry process. The same program runs on every entry
-box; it learns its name, hall and addresses from its settings and keeps nothing
-that the platform's log does not."""
+"""``granitetrestled``: daemon of an entry process. The same program runs on every
+entry box. Its name, hall and addresses come from its settings, and it keeps no state
+beyond that in the platform's log."""
 
 import os
 import signal
@@ -29,6 +29,7 @@
 
 KEEP_ALIVE_TIMEOUT_S = 5
 MAX_CONCURRENCY = 8192
+# Longer than the interval at which EmbeddedServer checks for a stop.
 SERVER_STOP_WAIT_S = 0.6
 
 
@@ -86,8 +87,8 @@
     try:
         await server.serve()
     except SystemExit as stop:
-        # uvicorn exits so when it can't bind; end this process the same way.
-        raise RuntimeError("the HTTP address can't be bound") from stop
+        # uvicorn raises SystemExit if it can't bind the address; that ends this process.
+        raise RuntimeError("can't bind the HTTP address") from stop
 
 
 async def _wait_for_signal() -> None:
--- a/src/granitetrestle/embedded.py
+++ b/src/granitetrestle/embedded.py
@@ -1,4 +1,4 @@
-"""uvicorn as one of several tasks of a process that has signals of its own."""
+"""uvicorn server that runs as a task of a process which handles signals itself."""
 
 import contextlib
 import typing as t
@@ -8,20 +8,20 @@
 
 __all__ = ["EmbeddedServer"]
 
-# uvicorn itself looks ten times a second, which costs an idle process processor time.
+# uvicorn's own interval of 0.1 s uses processor time in an idle process.
 STOP_CHECK_INTERVAL_S: t.Final = 0.5
 
 
 class EmbeddedServer(uvicorn.Server):
-    """uvicorn inside this process; signals are the process's own business."""
+    """uvicorn server without signal handlers; the process installs its own."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> t.Iterator[None]:
-        """Leave signals alone."""
+        """Install no signal handlers."""
         yield
 
     async def main_loop(self) -> None:
-        """Look for the stop less often than uvicorn does, to idle cheaply."""
+        """Check ``should_exit`` less often than uvicorn does, to save processor time."""
         while not self.should_exit:
             await self.on_tick(0)
             await anyio.sleep(STOP_CHECK_INTERVAL_S)
--- a/src/granitetrestle/settings.py
+++ b/src/granitetrestle/settings.py
@@ -1,6 +1,6 @@
-"""Settings of the daemon: flags, each also an environment variable, checked as a
-whole before anything starts. All problems are listed at once, and the process
-exits with a code of its own (78)."""
+"""Settings of the daemon: flags, each of which can also be set by an environment
+variable. All are checked before anything starts. Every problem is reported at once,
+and the process exits with code 78, used for nothing else."""
 
 import ipaddress
 import os
@@ -21,7 +21,7 @@
 
 
 class Address(t.NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     ip: str
     port: int
@@ -31,7 +31,7 @@
 
 
 class PeerAddress(t.NamedTuple):
-    """Where another process of the system listens."""
+    """A process of the system and the addresses on which it listens."""
 
     node: str
     hall: str
@@ -40,7 +40,7 @@
 
 
 class Settings(t.NamedTuple):
-    """Checked settings of one daemon. Durations are in seconds."""
+    """Validated settings of one daemon. Durations are in seconds."""
 
     node: str
     hall: str
@@ -69,10 +69,10 @@
         ("zmq_address", "", "IP:PORT for messages between processes"),
         ("platform_address", "", "IP:PORT of the platform's service"),
         ("peers", "", "all processes: NODE@HALL=ZMQ_IP:PORT|HTTP_IP:PORT,..."),
-        ("peer_token", "", "secret that the system's own processes share"),
+        ("peer_token", "", "secret shared by the processes of the system"),
         ("operator_token_sha256", "", "SHA-256 of the operators' token, hex"),
         ("statsd_address", "", "IP:PORT of statsd; empty: no metrics"),
-        ("trace_file", "", "file for spans as JSON lines; empty: stderr"),
+        ("trace_file", "", "file for trace spans as JSON lines; empty: stderr"),
         ("log_level", "info", "debug, info, warning or error"),
     ]
     for name, default, meaning in text:
@@ -80,10 +80,10 @@
     flags.DEFINE_integer("shards", 1, "shards of each hall", flag_values=values)
     numbers = [
         ("trace_ratio", 0.01, "share of requests traced, 0 to 1"),
-        ("lease_s", 10.0, "how long a box runs a task without renewal"),
-        ("exchange_s", 1.0, "time between exchanges with a quiet box"),
-        ("term_s", 2.5, "how long a renewal on the log lets an owner act"),
-        ("stop_grace_s", 15.0, "longest time that a planned stop may take"),
+        ("lease_s", 10.0, "how long a box runs a task whose lease is not renewed"),
+        ("exchange_s", 1.0, "time between exchanges with an idle box"),
+        ("term_s", 2.5, "how long an owner may act after a renewal on the log"),
+        ("stop_grace_s", 15.0, "maximum duration of a planned stop"),
     ]
     for name, number, meaning in numbers:
         flags.DEFINE_float(name, number, meaning, flag_values=values)
@@ -92,8 +92,8 @@
 def load_settings(argv: t.Sequence[str], env: t.Mapping[str, str]) -> Settings:
     """Read and check the settings.
 
-    :param argv: program name and flags; flags win over the environment.
-    :param env: the environment; ``GRANITETRESTLE_<FLAG>`` names a flag.
+    :param argv: program name and flags; flags take precedence over the environment.
+    :param env: the environment; ``GRANITETRESTLE_<FLAG>`` sets a flag.
     :raises SettingsError: with every problem found.
     """
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
@@ -115,7 +115,9 @@
     get = values.flag_values_dict().get
     for name in ("node", "hall"):
         if not NAME_PATTERN.fullmatch(str(get(name))):
-            problems.append(f"--{name}: needs a name of a-z, 0-9 and -")
+            problems.append(
+                f"--{name}: {get(name)!r} is not 1 to 31 of a-z, 0-9 and - (not first)"
+            )
     addresses = {
         name: _address(name, str(get(name)), problems)
         for name in ("http_address", "zmq_address", "platform_address")
@@ -155,10 +157,10 @@
         ipaddress.ip_address(ip)
         number = int(port)
     except ValueError:
-        problems.append(f"--{name}: {text!r} is not IP:PORT (IP numbers only)")
+        problems.append(f"--{name}: {text!r} is not IP:PORT (no host names)")
         return Address("", 0)
     if not 0 < number < 65536:
-        problems.append(f"--{name}: port {number} is out of range")
+        problems.append(f"--{name}: port {number} is not in 1..65535")
     return Address(ip, number)
 
 
@@ -169,7 +171,9 @@
         node, _, hall = head.partition("@")
         zmq, _, http = tail.partition("|")
         if not NAME_PATTERN.fullmatch(node) or not NAME_PATTERN.fullmatch(hall):
-            problems.append(f"--peers: {entry!r} is not NODE@HALL=ZMQ|HTTP")
+            problems.append(
+                f"--peers: {entry!r} is not NODE@HALL=ZMQ_IP:PORT|HTTP_IP:PORT"
+            )
             continue
         peers.append(
             PeerAddress(
@@ -180,7 +184,7 @@
             )
         )
     if len({peer.node for peer in peers}) != len(peers):
-        problems.append("--peers: a node is named twice")
+        problems.append("--peers: a node is listed twice")
     return tuple(peers)
 
 
@@ -188,7 +192,7 @@
     node: str, hall: str, peers: tuple[PeerAddress, ...], problems: list[str]
 ) -> None:
     if not any(peer.node == node and peer.hall == hall for peer in peers):
-        problems.append("--peers: does not name this node in this hall")
+        problems.append(f"--peers: does not list node {node!r} in hall {hall!r}")
 
 
 def _check_numbers(values: flags.FlagValues, problems: list[str]) -> None:
@@ -201,9 +205,11 @@
         ("stop_grace_s", 1.0, 600.0),
     ):
         if not low <= float(getattr(values, name)) <= high:
-            problems.append(f"--{name}: must lie in {low}..{high}")
+            problems.append(
+                f"--{name}: {getattr(values, name)} is not in {low}..{high}"
+            )
     if values.lease_s < 3 * values.exchange_s:
-        problems.append("--lease_s: must be at least three times --exchange_s")
+        problems.append("--lease_s: must be at least 3 times --exchange_s")
 
 
 def _check_secrets(values: flags.FlagValues, problems: list[str]) -> None:
@@ -212,7 +218,7 @@
     if not SHA256_PATTERN.fullmatch(values.operator_token_sha256):
         problems.append("--operator_token_sha256: needs 64 hex digits")
     if values.log_level not in LOG_LEVELS:
-        problems.append(f"--log_level: one of {', '.join(LOG_LEVELS)}")
+        problems.append(f"--log_level: must be one of {', '.join(LOG_LEVELS)}")
 
 
 def usage() -> str:
@@ -221,7 +227,7 @@
     _define_flags(values)
     values.mark_as_parsed()
     note = f"Each flag can be set as {ENV_PREFIX}<FLAG> in the environment."
-    return f"granitetrestled: one entry process.\n{values.get_help()}\n{note}"
+    return f"granitetrestled: daemon of an entry process.\n{values.get_help()}\n{note}"
 
 
 def load_from_process(argv: t.Sequence[str]) -> Settings:
--- a/src/granitetrestle/setup.py
+++ b/src/granitetrestle/setup.py
@@ -1,4 +1,4 @@
-"""What a process of the older path is told at its start."""
+"""Startup configuration of a process of the older path (:class:`Reducer`)."""
 
 import typing as t
 
@@ -16,12 +16,12 @@
 
 
 class Setup(t.NamedTuple):
-    """What a process is told at its start.
+    """Startup configuration of a process.
 
     :param incarnation: differs each time a process starts.
     :param halls: hall -> nodes, this process included.
-    :param snapshot_records: records of a stream between two snapshots.
-    :param snapshot_s: longest time between two snapshots, in seconds.
+    :param snapshot_records: number of records of a stream between two snapshots.
+    :param snapshot_s: maximum time between two snapshots, in seconds.
     """
 
     node: str
--- a/src/granitetrestle/table.py
+++ b/src/granitetrestle/table.py
@@ -1,6 +1,6 @@
 """The operators' table: one row per client account, one typed column per weight
-or limit. Cells carry the log offset that set them as version, so races are
-decided by the log's order alone and no replica can ever step back."""
+or limit. The version of a cell is the log offset that set it. Concurrent changes are
+therefore decided by the log's order alone, and no replica returns to an older value."""
 
 import dataclasses
 import math
@@ -24,7 +24,7 @@
 
 
 class Column(t.NamedTuple):
-    """One column: its unit, its default, and what a cell may hold."""
+    """A column: its default, its unit, and the values allowed in its cells."""
 
     name: str
     default: CellValue
@@ -58,20 +58,21 @@
 
 
 class Cell(t.NamedTuple):
-    """A value and the offset of the record that set it (0: the default)."""
+    """A value and the log offset of the record that set it (0: the default)."""
 
     value: CellValue
     version: int
 
 
 def check_edits(edits: t.Sequence[CellEdit]) -> None:
-    """Check a whole change before it goes onto the log.
+    """Check a whole change before it is appended to the log.
 
     :param edits: the cells of one change.
-    :raises InvalidInput: naming the first cell that is not allowed.
+    :raises InvalidInput: if the change is empty, too long or names a cell twice, or
+        for its first cell that is not allowed.
     """
     if not edits or len(edits) > MAX_EDITS:
-        raise InvalidInput(f"a change has 1 to {MAX_EDITS} cells")
+        raise InvalidInput(f"a change has 1 to {MAX_EDITS} cells, not {len(edits)}")
     cells = {(edit.account, edit.column) for edit in edits}
     if len(cells) != len(edits):
         raise InvalidInput("a change names a cell twice")
@@ -85,7 +86,9 @@
         known = ", ".join(COLUMNS)
         raise InvalidInput(f"no column {edit.column!r}", f"columns are: {known}")
     if not NAME_PATTERN.fullmatch(edit.account):
-        raise InvalidInput(f"bad account name {edit.account[:64]!r}")
+        raise InvalidInput(
+            f"account name {edit.account[:64]!r} is not 1 to 63 of a-z, 0-9 and -"
+        )
     if isinstance(column.default, str):
         _check_text(column, edit.value)
         return
@@ -94,7 +97,9 @@
 
 def _check_text(column: Column, value: CellValue) -> None:
     if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
-        raise InvalidInput(f"{column.name} takes a text of up to {MAX_TEXT_LENGTH}")
+        raise InvalidInput(
+            f"{column.name} takes a text of up to {MAX_TEXT_LENGTH} characters"
+        )
     if not re.fullmatch(column.pattern, value):
         raise InvalidInput(f"{column.name} must match {column.pattern}")
 
@@ -103,12 +108,14 @@
     if isinstance(value, str) or not math.isfinite(value):
         raise InvalidInput(f"{column.name} takes a finite number ({column.unit})")
     if not column.low <= value <= column.high:
-        raise InvalidInput(f"{column.name} lies in {column.low:g}..{column.high:g}")
+        raise InvalidInput(
+            f"{column.name} is {value!r}, not in {column.low:g}..{column.high:g}"
+        )
 
 
 @dataclasses.dataclass(slots=True)
 class Table:
-    """The table as of one offset of the configuration stream."""
+    """The table at one offset of the configuration stream."""
 
     rows: dict[str, dict[str, Cell]] = dataclasses.field(default_factory=dict)
     offset: int = 0
@@ -116,8 +123,10 @@
     def apply(self, offset: int, change: TableEdited) -> Outcome:
         """Apply one change at its place in the log.
 
-        :param offset: the record's offset; must grow from call to call.
-        :returns: accepted, or rejected as invalid or as the loser of a race.
+        :param offset: the record's offset; must increase from call to call.
+        :param change: the cells to set, each with the version that its author saw.
+        :returns: accepted, or rejected as invalid or as a conflict with a change that
+            came first in the log.
         """
         try:
             check_edits(change.edits)
@@ -133,12 +142,12 @@
         return Accepted(f"{len(change.edits)} cell(s)", offset)
 
     def restore(self, rows: dict[str, dict[str, Cell]], offset: int) -> None:
-        """Take up a snapshot that is newer than what is in force here."""
+        """Replace the table by a snapshot that is newer than it."""
         self.rows = rows
         self.offset = offset
 
     def advance(self, offset: int) -> None:
-        """Note that all records up to ``offset`` are in force here."""
+        """Record that all records up to ``offset`` are in force here."""
         self.offset = max(self.offset, offset)
 
     def cell(self, account: str, column: str) -> Cell:
--- a/src/granitetrestle/telemetry.py
+++ b/src/granitetrestle/telemetry.py
@@ -1,5 +1,5 @@
-"""What the system tells about itself: JSON log lines, statsd metrics and spans.
-All of it is best effort; none may slow or fail a request."""
+"""Telemetry of a process: JSON log lines, statsd metrics and trace spans. Delivery
+is not guaranteed, and telemetry must neither slow nor fail a request."""
 
 import logging
 import pathlib
@@ -38,19 +38,19 @@
             )
 
     def export(self, spans: t.Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write spans; called from the processor's thread."""
+        """Write spans; called from the thread of the span processor."""
         for span in spans:
             self._file.write(span.to_json(indent=None) + "\n")
         self._file.flush()
         return SpanExportResult.SUCCESS
 
     def shutdown(self) -> None:
-        """Flush what is left."""
+        """Flush spans that are still buffered."""
         self._file.flush()
 
 
 class Metrics:
-    """statsd over UDP, or silence when no address is set."""
+    """Sends metrics to statsd over UDP; does nothing if no address is set."""
 
     def __init__(self, settings: Settings) -> None:
         self._client: t.Any = None
@@ -85,13 +85,13 @@
 
 
 def trace_id() -> str:
-    """Return the id of the trace in whose span this runs, as hex, or nothing."""
+    """Return the id of the current trace as hex, or an empty string without one."""
     context = trace.get_current_span().get_span_context()
     return f"{context.trace_id:032x}" if context.is_valid else ""
 
 
 def start_telemetry(settings: Settings) -> Telemetry:
-    """Set up logs, metrics and spans from the settings."""
+    """Configure logging, metrics and tracing from the settings."""
     level = getattr(logging, settings.log_level.upper())
     structlog.configure(
         processors=[
--- a/src/granitetrestle/views.py
+++ b/src/granitetrestle/views.py
@@ -1,5 +1,5 @@
-"""What the API shows of the reducer's state, as typed bodies. A view holds no
-decision and changes nothing."""
+"""Response bodies of the administration API, built from the reducer's state. Views
+are read-only and contain no scheduling logic."""
 
 import time
 import typing as t
@@ -33,7 +33,7 @@
 
 
 class ColumnView(msgspec.Struct):
-    """What a column holds."""
+    """A column of the table: its default, unit and meaning."""
 
     name: str
     default: CellValue
@@ -42,14 +42,14 @@
 
 
 class CellView(msgspec.Struct):
-    """A cell; version 0 is the column's default."""
+    """A cell of the table; version 0 is the column's default."""
 
     value: CellValue
     version: int
 
 
 class TableView(msgspec.Struct):
-    """The table in force at this process."""
+    """The table in force in this process."""
 
     offset: int
     rows: dict[str, dict[str, CellView]]
@@ -67,7 +67,7 @@
 
 
 class JobView(msgspec.Struct):
-    """A job."""
+    """A job and its tasks."""
 
     job: str
     account: str
@@ -79,7 +79,7 @@
 
 
 class ServiceView(msgspec.Struct):
-    """A service as this process can reach it."""
+    """A service: its slots in this hall and the other halls that offer it."""
 
     service: str
     slots_here: int
@@ -87,7 +87,10 @@
 
 
 class BoxView(msgspec.Struct):
-    """A box of this hall; ``owner`` names the process with its books."""
+    """A box of this hall; ``owner`` is the process that owns its shard.
+
+    ``free_cores`` and ``tasks`` are known only to the owner.
+    """
 
     box: str
     rack: str
@@ -100,7 +103,7 @@
 
 
 class NodeView(msgspec.Struct):
-    """A process and the configuration offset in force there."""
+    """A process and the configuration offset in force there (``None``: unknown)."""
 
     node: str
     offset: int | None
@@ -108,7 +111,7 @@
 
 
 class HallView(msgspec.Struct):
-    """A hall; ``reachable`` is from the process that answers."""
+    """A data hall; ``reachable`` is seen from the process that answers."""
 
     hall: str
     reachable: bool
@@ -128,7 +131,10 @@
 
 
 def table_view(reducer: Reducer, only_account: str) -> TableView:
-    """Return the table, or just the row of one account."""
+    """Return the table.
+
+    :param only_account: the account whose row is returned; empty: all rows.
+    """
     table = reducer.table
     accounts = [a for a in table.accounts() if only_account in ("", a)]
     rows: dict[str, dict[str, CellView]] = {}
@@ -160,7 +166,7 @@
 
 
 def service_views(reducer: Reducer) -> list[ServiceView]:
-    """Return every service known here."""
+    """Return every service that this process knows."""
     now = time.monotonic()
     names = set(reducer.borrower.services())
     for known in reducer.halls.known.values():
@@ -203,7 +209,7 @@
 
 
 def status_view(reducer: Reducer, settings: Settings) -> StatusView:
-    """Return what this process knows of all halls."""
+    """Return the status of all halls as this process knows it."""
     now = time.monotonic()
     halls: dict[str, list[str]] = {}
     for peer in settings.peers:
