--- a/src/granitetrestle/client.py
+++ b/src/granitetrestle/client.py
@@ -44,7 +44,8 @@
         A call other than GET is not repeated at the next entry once it may have been
         sent, since it may have taken effect.
 
-        :raises UnreachableError: if no entry accepted the connection or answered.
+        :raises UnreachableError: if no entry accepted the connection or answered, or
+            the answer is not JSON.
         :raises OutcomeUnknown: if a call other than GET was sent and not answered.
         :raises GranitetrestleError: the typed error in the answer.
         """
