--- a/features/report_world.py
+++ b/features/report_world.py
@@ -10,13 +10,13 @@
 from granitetrestle.reports import OwnState
 from granitetrestle.reports import Reports
 
-TICK = 0.1
-BEAT = 1.0
-BEAT_LOST = 1.4
-ASK_STORE = 0.2
-DELAY = 0.002
+TICK_INTERVAL_S = 0.1
+HEARTBEAT_INTERVAL_S = 1.0
+HEARTBEAT_TIMEOUT_S = 1.4
+LEADER_CHECK_INTERVAL_S = 0.2
+MESSAGE_DELAY_S = 0.002
 # What a process has not taken from a connection when it is given up is lost.
-CONNECTION_LOST = 1.0
+CONNECTION_TIMEOUT_S = 1.0
 
 
 class Process:
@@ -29,11 +29,11 @@
         self.frozen_until = 0.0
         self.dead = False
         self.sent = self.received = 0
-        self.taken = []
+        self.take_overs = []
         self.known = known
-        self.begin(start)
+        self.start(start)
 
-    def begin(self, now):
+    def start(self, now):
         """A new life."""
         self.incarnation = next(self.world.incarnations)
         self.up_at = now
@@ -42,17 +42,17 @@
         self.leadership = self.reports.leadership
         self.membership = self.reports.membership
         self.registered_at = now + self.world.store_s
-        self.trying = False
+        self.attempting = False
         self.leading = False
-        self.asking = False
-        self.beat_seen = None
-        self.ask_at = 0.0
+        self.calling_store = False
+        self.last_heartbeat = None
+        self.leader_check_at = 0.0
 
     @property
     def own(self):
         store_ok = not self.leading or self.world.store_reached(self)
         ready = self.registered_at is None
-        return OwnState(self.leading, store_ok, ready, self.trying)
+        return OwnState(self.leading, store_ok, ready, self.attempting)
 
     def leader(self, now):
         if self.leading:
@@ -61,27 +61,27 @@
             return ""
         return self.leadership.leader
 
-    def say(self, reports, now):
+    def send_reports(self, reports, now):
         for report in reports:
             for node in report.to:
                 if self.membership.find(node) is not None:
-                    self.world.carry(self, node, report.status, now)
+                    self.world.send(self, node, report.status, now)
 
-    def learn(self, now):
+    def add_members(self, now):
         for member in self.world.members():
             self.membership.add_registered(member)
 
     def register(self, now):
-        self.learn(now)
-        self.see_beat(now)
-        if self.world.shown[0]:
-            self.leadership.record_leader(*self.world.shown, now)
+        self.add_members(now)
+        self.heartbeat_age_s(now)
+        if self.world.stored_leader[0]:
+            self.leadership.record_leader(*self.world.stored_leader, now)
 
-    def see_beat(self, now):
-        beat = self.world.beat
-        if self.beat_seen is None or self.beat_seen[0] != beat:
-            self.beat_seen = (beat, now)
-        return now - self.beat_seen[1]
+    def heartbeat_age_s(self, now):
+        heartbeat = self.world.heartbeat
+        if self.last_heartbeat is None or self.last_heartbeat[0] != heartbeat:
+            self.last_heartbeat = (heartbeat, now)
+        return now - self.last_heartbeat[1]
 
     def tick(self, now):
         if self.registered_at is not None:
@@ -92,68 +92,75 @@
             self.read_again_at = now + 2.0
         if self.read_again_at is not None and now > self.read_again_at:
             self.read_again_at = None
-            self.learn(now)
-        self.say(self.reports.due(self.own, now), now)
+            self.add_members(now)
+        self.send_reports(self.reports.due(self.own, now), now)
         if self.leading:
-            if self.world.last != self.name:
+            if self.world.leader_name != self.name:
                 self.leading = False
                 self.leadership.record_deposed()
-            elif self.world.store_reached(self) and now - self.world.beat[1] > BEAT:
-                self.world.show(now)
+            elif (
+                self.world.store_reached(self)
+                and now - self.world.heartbeat[1] > HEARTBEAT_INTERVAL_S
+            ):
+                self.world.write_heartbeat(now)
             return
-        if self.asking:
+        if self.calling_store:
             return
         if not self.leadership.is_take_over_due(now):
             return
         if not self.leadership.lacks_stable_majority(now):
-            self.try_it(now)
-        elif now >= self.ask_at:
-            self.ask_store(self.asked)
+            self.attempt_take_over(now)
+        elif now >= self.leader_check_at:
+            self.call_store(self.check_leader)
 
-    def ask_store(self, step):
-        self.asking = True
+    def call_store(self, callback):
+        self.calling_store = True
         after = self.world.store_s
-        self.world.at(
-            self.world.now + after, self.store_answers, self.incarnation, step
+        self.world.schedule(
+            self.world.now + after, self.store_answered, self.incarnation, callback
         )
 
-    def store_answers(self, incarnation, step):
+    def store_answered(self, incarnation, callback):
         if self.dead or incarnation != self.incarnation:
             return
-        self.asking = False
+        self.calling_store = False
         if self.world.store_reached(self):
-            step(self.world.now)
+            callback(self.world.now)
         else:
-            self.trying = False
+            self.attempting = False
 
-    def asked(self, now):
-        left = BEAT_LOST + self.leadership.stagger_s(now) - self.see_beat(now)
-        self.ask_at = now + max(ASK_STORE, left)
+    def check_leader(self, now):
+        left = (
+            HEARTBEAT_TIMEOUT_S
+            + self.leadership.stagger_s(now)
+            - self.heartbeat_age_s(now)
+        )
+        self.leader_check_at = now + max(LEADER_CHECK_INTERVAL_S, left)
         if left > 0.0:
             return
         if self.leadership.is_take_over_due(now):
-            self.try_it(now)
+            self.attempt_take_over(now)
 
-    def try_it(self, now):
-        self.trying = True
-        self.world.tried.add(self.name)
+    def attempt_take_over(self, now):
+        self.attempting = True
+        self.world.attempted.add(self.name)
         self.leadership.record_attempt(now)
-        self.say(self.reports.to_all(self.own, now), now)
-        self.ask_store(self.read)
+        self.send_reports(self.reports.to_all(self.own, now), now)
+        self.call_store(self.check_epoch)
 
-    def read(self, now):
-        if self.world.shown[0] > self.leadership.epoch:
-            self.trying = False
-            self.leadership.record_leader(*self.world.shown, now)
+    def check_epoch(self, now):
+        if self.world.stored_leader[0] > self.leadership.epoch:
+            self.attempting = False
+            self.leadership.record_leader(*self.world.stored_leader, now)
             return
-        self.ask_store(self.append)
+        self.call_store(self.claim_epoch)
 
-    def append(self, now):
-        self.trying = False
-        self.world.take(self, now)
+    def claim_epoch(self, now):
+        self.attempting = False
+        self.world.take_over(self, now)
         self.leadership.record_take_over(self.world.epoch, now)
         self.leading = True
-        self.say(self.reports.to_all(self.own, now), now)
+        self.send_reports(self.reports.to_all(self.own, now), now)
 
 
 class ReportWorld:
@@ -163,19 +170,19 @@
         self.random = random.Random(seed)
         self.store_s = store_s
         self.incarnations = itertools.count(1)
-        self.epoch, self.last = 0, ""
-        self.beat = (0, 0.0)
+        self.epoch, self.leader_name = 0, ""
+        self.heartbeat = (0, 0.0)
         # What the store shows of who decides, and whether it takes no news of that.
-        self.shown = (0, "")
-        self.beats_lost = False
-        self.taken = []
-        self.cuts = set()
-        self.delay = DELAY
-        self.refused = set()
-        self.tried = set()
+        self.stored_leader = (0, "")
+        self.heartbeats_lost = False
+        self.take_overs = []
+        self.cut_off_halls = set()
+        self.delay = MESSAGE_DELAY_S
+        self.refused_by_store = set()
+        self.attempted = set()
         self.down = set()
-        self.queue = []
-        self.order = itertools.count()
+        self.events = []
+        self.event_numbers = itertools.count()
         self.now = 10.0
         self.processes = {}
         for number in range(count):
@@ -184,34 +191,41 @@
             name = f"h{number % halls}-{number // halls:02}"
             process = Process(self, name, f"h{number % halls}", cores, start)
             self.processes[name] = process
-            self.at(start + self.random.random() * TICK, self.ticked, process)
+            self.schedule(
+                start + self.random.random() * TICK_INTERVAL_S,
+                self.tick_process,
+                process,
+            )
 
     def members(self):
         return [process.me for process in self.processes.values()]
 
-    def at(self, when, what, *arguments):
-        heapq.heappush(self.queue, (when, next(self.order), what, arguments))
+    def schedule(self, when, what, *arguments):
+        heapq.heappush(self.events, (when, next(self.event_numbers), what, arguments))
 
-    def ticked(self, process):
-        resumes = max(self.now + TICK, process.frozen_until)
+    def tick_process(self, process):
+        next_tick_at = max(self.now + TICK_INTERVAL_S, process.frozen_until)
         if not process.dead and self.now >= process.frozen_until:
             process.tick(self.now)
-        self.at(resumes, self.ticked, process)
+        self.schedule(next_tick_at, self.tick_process, process)
 
     def reaches(self, one, other):
-        return one.hall == other.hall or not {one.hall, other.hall} & self.cuts
+        return one.hall == other.hall or not {one.hall, other.hall} & self.cut_off_halls
 
     def store_reached(self, process):
-        return process.hall not in self.cuts and process.name not in self.refused
+        return (
+            process.hall not in self.cut_off_halls
+            and process.name not in self.refused_by_store
+        )
 
-    def carry(self, sender, node, status, now):
+    def send(self, sender, node, status, now):
         target = self.processes[node]
         sender.sent += 1
         incarnation = target.incarnation
-        arrives = now + self.delay * (1.0 + self.random.random())
-        self.at(arrives, self.arrive, sender, target, incarnation, status)
+        delivered_at = now + self.delay * (1.0 + self.random.random())
+        self.schedule(delivered_at, self.deliver, sender, target, incarnation, status)
 
-    def arrive(self, sender, target, incarnation, status):
+    def deliver(self, sender, target, incarnation, status):
         if (
             target.dead
             or target.incarnation != incarnation
@@ -219,10 +233,10 @@
         ):
             return
         if self.now < target.frozen_until:
-            if target.frozen_until - self.now < CONNECTION_LOST:
-                self.at(
+            if target.frozen_until - self.now < CONNECTION_TIMEOUT_S:
+                self.schedule(
                     target.frozen_until,
-                    self.arrive,
+                    self.deliver,
                     sender,
                     target,
                     incarnation,
@@ -232,79 +246,81 @@
         if target.registered_at is not None:
             return
         target.received += 1
-        target.say(target.reports.record_report(status, target.own, self.now), self.now)
+        target.send_reports(
+            target.reports.record_report(status, target.own, self.now), self.now
+        )
 
-    def take(self, process, now):
+    def take_over(self, process, now):
         self.epoch += 1
-        self.last = process.name
-        self.show(now)
-        self.taken.append((now, process.name))
+        self.leader_name = process.name
+        self.write_heartbeat(now)
+        self.take_overs.append((now, process.name))
 
-    def show(self, now):
+    def write_heartbeat(self, now):
         """Let the store show the decider, unless that write is lost."""
-        if not self.beats_lost:
-            self.beat = (self.epoch, now)
-            self.shown = (self.epoch, self.last)
+        if not self.heartbeats_lost:
+            self.heartbeat = (self.epoch, now)
+            self.stored_leader = (self.epoch, self.leader_name)
 
     def run(self, seconds):
         end = self.now + seconds
-        while self.queue and self.queue[0][0] <= end:
-            self.now, _, what, arguments = heapq.heappop(self.queue)
+        while self.events and self.events[0][0] <= end:
+            self.now, _, what, arguments = heapq.heappop(self.events)
             what(*arguments)
         self.now = end
 
-    def kill(self, names, back_after=None):
+    def kill(self, names, restart_after_s=None):
         for name in names:
             process = self.processes[name]
             process.dead = True
             process.leading = False
-            if back_after is not None:
-                self.at(self.now + back_after, self.revive, process)
+            if restart_after_s is not None:
+                self.schedule(self.now + restart_after_s, self.restart, process)
 
-    def revive(self, process):
-        process.begin(self.now + self.random.random() * 0.3)
+    def restart(self, process):
+        process.start(self.now + self.random.random() * 0.3)
 
-    def scheduler(self):
-        return self.processes[self.last]
+    def leader(self):
+        return self.processes[self.leader_name]
 
-    def decides(self):
+    def has_leader(self):
         """Say whether a process is at work as the decider."""
-        scheduler = self.processes[self.last]
+        scheduler = self.processes[self.leader_name]
         return scheduler.leading and not scheduler.dead
 
-    def ignorant(self, names=None):
+    def without_leader(self, names=None):
         """Who of ``names`` does not know the decider."""
         names = self.processes if names is None else names
         return [
             name
             for name in names
             if not self.processes[name].dead
-            and self.processes[name].leader(self.now) != self.last
+            and self.processes[name].leader(self.now) != self.leader_name
         ]
 
-    def until_known(self, most, names=None):
+    def run_until_leader_known(self, timeout_s, names=None):
         """Run until everybody knows the decider; returns the seconds it took."""
-        began = self.now
-        while self.ignorant(names) and self.now - began < most:
+        started = self.now
+        while self.without_leader(names) and self.now - started < timeout_s:
             self.run(0.02)
-        return self.now - began
+        return self.now - started
 
-    def until_decided(self, most, than=None):
-        """Run until a process decides, another one than ``than``; returns the seconds."""
-        began = self.now
-        while self.now - began < most:
-            if self.decides() and self.last != than:
+    def run_until_leader(self, timeout_s, other_than=None):
+        """Run until a process decides, another one than ``other_than``; returns the seconds."""
+        started = self.now
+        while self.now - started < timeout_s:
+            if self.has_leader() and self.leader_name != other_than:
                 break
             self.run(0.02)
-        return self.now - began
+        return self.now - started
 
-    def watch(self, seconds, names=None):
+    def longest_without_leader(self, seconds, names=None):
         """Run; returns the longest that anybody has not known the decider."""
         longest, since = 0.0, {}
         end = self.now + seconds
         while self.now < end:
             self.run(0.05)
-            ignorant = set(self.ignorant(names))
-            since = {name: since.get(name, self.now) for name in ignorant}
+            without_leader = set(self.without_leader(names))
+            since = {name: since.get(name, self.now) for name in without_leader}
             longest = max([longest, *(self.now - at for at in since.values())])
         return longest
--- a/features/steps/answering_steps.py
+++ b/features/steps/answering_steps.py
@@ -13,38 +13,40 @@
 from granitetrestle.forwarding import Target
 from granitetrestle.messages import CallAnswered
 
-REFUSED, IN_DOUBT = 503, 504
+REFUSED, OUTCOME_UNKNOWN = 503, 504
 
 
-class Entry:
+class ForwardingProcess:
     """A process that takes requests, and a decider that hears them."""
 
     def __init__(self):
-        self.forwarding = Forwarding("me", "127.0.0.1:1", self.send, self.here)
+        self.forwarding = Forwarding(
+            "me", "127.0.0.1:1", self.send, self.answer_locally
+        )
         self.target = Target("decider", 1)
         self.answers = False
-        self.tried = []
+        self.forwarded = []
         self.outcomes = []
 
     def send(self, node, message):
-        self.tried.append((time.monotonic(), message.number))
+        self.forwarded.append((time.monotonic(), message.number))
         if self.answers:
             answered = CallAnswered(message.number, 200, b"", 0, "")
             self.forwarding.record_answer(answered)
         return True
 
-    async def here(self, call):
+    async def answer_locally(self, call):
         raise AssertionError("another process decides")
 
     async def client(self, left_s):
-        began = time.monotonic()
+        started = time.monotonic()
         call = ClientCall("POST", "h", "/q/1", b"")
         answer = await self.forwarding.serve(call, left_s, lambda: self.target)
         now = time.monotonic()
-        self.outcomes.append((began - self.began, now - began, answer))
+        self.outcomes.append((started - self.started, now - started, answer))
 
-    def come(self, count, every_s, left_s):
-        self.outcomes, self.tried, self.began = [], [], time.monotonic()
+    def send_requests(self, count, every_s, left_s):
+        self.outcomes, self.forwarded, self.started = [], [], time.monotonic()
 
         async def script():
             async with anyio.create_task_group() as tasks:
@@ -56,13 +58,13 @@
 
 
 @given("a process whose decider takes requests and answers none")
-def entry(context):
-    context.entry = Entry()
+def process(context):
+    context.process = ForwardingProcess()
 
 
 @when("{count:d} clients come, one each {every:g} seconds, with {left:g} seconds each")
 def clients_come(context, count, every, left):
-    context.entry.come(count, every, left)
+    context.process.send_requests(count, every, left)
 
 
 @then(
@@ -70,51 +72,55 @@
     "at once"
 )
 def refused_at_once(context, span):
-    later = [row for row in context.entry.outcomes if row[0] > span]
+    later = [row for row in context.process.outcomes if row[0] > span]
     refused = [row for row in later if row[2].status == REFUSED]
     assert len(refused) >= 0.7 * len(later), (len(refused), len(later))
-    assert all(took < 0.1 for _, took, _ in refused)
-    early = [row for row in context.entry.outcomes if row[0] < 1.2]
-    assert {answer.status for _, _, answer in early} == {IN_DOUBT}
+    assert all(duration_s < 0.1 for _, duration_s, _ in refused)
+    early = [row for row in context.process.outcomes if row[0] < 1.2]
+    assert {answer.status for _, _, answer in early} == {OUTCOME_UNKNOWN}
 
 
 @then(
     "they are told to come back after 1, 2 or 3 seconds, and {rate:d} a second are "
     "still tried"
 )
-def told_when(context, rate):
-    rows = context.entry.outcomes
-    told = collections.Counter(
-        answer.retry_after_s for _, _, answer in rows if answer.status == REFUSED
+def retry_delays_and_rate(context, rate):
+    outcomes = context.process.outcomes
+    retry_delays = collections.Counter(
+        answer.retry_after_s for _, _, answer in outcomes if answer.status == REFUSED
     )
-    assert set(told) == {1, 2, 3}, told
-    late = {n for at, n in context.entry.tried if at - context.entry.began > 1.4}
-    early = {n for at, n in context.entry.tried if at - context.entry.began <= 1.4}
+    assert set(retry_delays) == {1, 2, 3}, retry_delays
+    late = {
+        n for at, n in context.process.forwarded if at - context.process.started > 1.4
+    }
+    early = {
+        n for at, n in context.process.forwarded if at - context.process.started <= 1.4
+    }
     seconds = 40 * 0.1 - 1.4
     assert 1 <= len(late - early) <= rate * seconds + 2, len(late - early)
 
 
 @then("nobody was refused")
 def nobody_refused(context):
-    statuses = {answer.status for _, _, answer in context.entry.outcomes}
-    assert statuses == {IN_DOUBT}, statuses
+    statuses = {answer.status for _, _, answer in context.process.outcomes}
+    assert statuses == {OUTCOME_UNKNOWN}, statuses
 
 
 @when("the decider answers again")
 def answers_again(context):
-    context.entry.answers = True
+    context.process.answers = True
     # The first that is tried all the same tells of it.
-    context.entry.come(8, 0.1, 3.0)
+    context.process.send_requests(8, 0.1, 3.0)
 
 
 @when("another decider is known that answers")
 def another_decider(context):
-    context.entry.target = Target("another", 2)
-    context.entry.answers = True
+    context.process.target = Target("another", 2)
+    context.process.answers = True
 
 
 @then("every client that comes is answered within 1 second")
 def all_answered_soon(context):
-    context.entry.come(10, 0.05, 3.0)
-    for _, took, answer in context.entry.outcomes:
-        assert answer.status == 200 and took < 1.0, (answer, took)
+    context.process.send_requests(10, 0.05, 3.0)
+    for _, duration_s, answer in context.process.outcomes:
+        assert answer.status == 200 and duration_s < 1.0, (answer, duration_s)
--- a/features/steps/forwarded_steps.py
+++ b/features/steps/forwarded_steps.py
@@ -19,16 +19,16 @@
 from granitetrestle_standins.nativestore import StoreModel
 
 
-class PlayedPeers:
+class FakePeers:
     """What a process hears is given; what it says is kept."""
 
-    def __init__(self, heard):
-        self.heard = heard
-        self.said = []
+    def __init__(self, received):
+        self.received = received
+        self.sent = []
         self.connections = 0
 
     async def receive(self):
-        for envelope in self.heard:
+        for envelope in self.received:
             yield envelope
         await anyio.sleep_forever()
 
@@ -42,7 +42,7 @@
         return False
 
     def send(self, node, message, trace=""):
-        self.said.append((node, message))
+        self.sent.append((node, message))
         return True
 
     def send_all(self, nodes, message, trace=""):
@@ -58,19 +58,19 @@
         return ClientAnswer(200, call.path.encode())
 
 
-def forwarded(number, left_s):
+def forwarded_request(number, left_s):
     """What a process hears of another that forwards a request."""
     call = CallForwarded(number, "GET", "h", f"/{number}", b"", left_s, "a:1")
     return Envelope("n2", "n2-1", call)
 
 
-def process_that_hears(context, heard):
+def node_that_receives(context, received):
     store = context.store = MemoryStore(StoreModel())
     sources = Sources(store, None, "c", "b", lambda r: None, lambda r: None)
     parameters = NodeParameters(
         "n1", "n1-1", "h", "10.0.0.1", "10.0.0.1:1", 1.0, SchedulerParameters()
     )
-    peers = context.peers = PlayedPeers(heard)
+    peers = context.peers = FakePeers(received)
     log = NodeLog(descriptor=2)
     return Node(parameters, sources, context.responder, peers, log, NodeMetrics())
 
@@ -86,7 +86,9 @@
 )
 def two_forwarded(context, first, second):
     requests = ((1, first), (2, second))
-    node = process_that_hears(context, [forwarded(*request) for request in requests])
+    node = node_that_receives(
+        context, [forwarded_request(*request) for request in requests]
+    )
 
     async def script():
         # A decider, as far as requests are concerned.
@@ -101,14 +103,16 @@
 
 @then("the second is answered, and nothing was said of the first")
 def second_answered(context):
-    answers = [(node, message.number) for node, message in context.peers.said]
+    answers = [(node, message.number) for node, message in context.peers.sent]
     assert answers == [("n2", 2)], answers
 
 
 @when("a process starts to which others forward requests already")
 def starts_while_asked(context):
     context.responder = SlowResponder(0.0)
-    node = process_that_hears(context, [forwarded(1, 2.0), forwarded(2, 2.0)])
+    node = node_that_receives(
+        context, [forwarded_request(1, 2.0), forwarded_request(2, 2.0)]
+    )
 
     async def script():
         with anyio.move_on_after(0.5):
@@ -121,4 +125,4 @@
 @then("it is at work, and leaves it to the others whom they ask next")
 def at_work(context):
     assert "n1" in context.known.nodes, context.known
-    assert context.peers.said == [], context.peers.said
+    assert context.peers.sent == [], context.peers.sent
--- a/features/steps/heard_steps.py
+++ b/features/steps/heard_steps.py
@@ -6,7 +6,7 @@
 from behave import then
 from behave import when
 
-FIGURE = "decider_heard_s_ago"
+METRIC = "decider_heard_s_ago"
 
 
 @when("the decider stands still for {seconds:g} seconds and goes on")
@@ -15,9 +15,11 @@
     leader = cluster.leader()
     (other,) = set(cluster.nodes()) - {leader}
     cluster.kill(leader, signal.SIGSTOP)
-    context.longest, until = 0.0, time.monotonic() + seconds
+    context.longest_silence_s, until = 0.0, time.monotonic() + seconds
     while time.monotonic() < until:
-        context.longest = max(context.longest, cluster.figure(FIGURE, other))
+        context.longest_silence_s = max(
+            context.longest_silence_s, cluster.figure(METRIC, other)
+        )
         time.sleep(0.05)
     cluster.kill(leader, signal.SIGCONT)
 
@@ -28,6 +30,6 @@
 )
 def heard_again(context, seconds):
     cluster = context.cluster
-    assert context.longest > seconds, context.longest
+    assert context.longest_silence_s > seconds, context.longest_silence_s
     for node in cluster.nodes():
-        cluster.wait(lambda n=node: cluster.figure(FIGURE, n) <= seconds, node)
+        cluster.wait(lambda n=node: cluster.figure(METRIC, n) <= seconds, node)
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -16,10 +16,10 @@
 def deployment(context, count, halls, s):
     context.world = ReportWorld(count, count, halls)
     context.world.run(s)
-    assert not context.world.ignorant(), context.world.ignorant()
+    assert not context.world.without_leader(), context.world.without_leader()
     for process in context.world.processes.values():
         process.sent = process.received = 0
-    context.taken = len(context.world.taken)
+    context.take_overs = len(context.world.take_overs)
 
 
 def rates(context, chosen):
@@ -55,26 +55,28 @@
 
 @then("1 process has taken over at most {times:d} times")
 def taken_at_most(context, times):
-    assert len(context.world.taken) <= times, context.world.taken
+    assert len(context.world.take_overs) <= times, context.world.take_overs
 
 
 @when("the decider is killed")
 def decider_killed(context):
     context.killed_at = context.world.now
-    context.world.kill([context.world.last])
+    context.world.kill([context.world.leader_name])
 
 
 @then("one process takes its place within {seconds:g} seconds")
 def takes_place(context, seconds):
     context.world.run(seconds)
-    assert len(context.world.taken) == context.taken + 1, context.world.taken
-    assert context.world.taken[-1][0] - context.killed_at <= seconds
+    assert len(context.world.take_overs) == context.take_overs + 1, (
+        context.world.take_overs
+    )
+    assert context.world.take_overs[-1][0] - context.killed_at <= seconds
 
 
 @then("everybody knows it within {seconds:g} seconds after that")
 def known_after(context, seconds):
     world = context.world
-    assert world.until_known(seconds) <= seconds, world.ignorant()
+    assert world.run_until_leader_known(seconds) <= seconds, world.without_leader()
 
 
 def relays(world, hall):
@@ -87,7 +89,7 @@
 
 def other_halls(world):
     halls = {process.hall for process in world.processes.values()}
-    return sorted(halls - {world.scheduler().hall})
+    return sorted(halls - {world.leader().hall})
 
 
 @when(
@@ -107,13 +109,13 @@
 )
 def nobody_without(context, span, most):
     names = set(context.world.processes) - {context.frozen}
-    longest = context.world.watch(span, names)
+    longest = context.world.longest_without_leader(span, names)
     assert longest <= most, longest
 
 
 @then("nobody else has taken over")
 def nobody_else(context):
-    assert len(context.world.taken) == context.taken, context.world.taken
+    assert len(context.world.take_overs) == context.take_overs, context.world.take_overs
 
 
 @when("all relays of a data hall without the decider are killed for good")
@@ -126,17 +128,17 @@
 @then("everybody knows the decider within {seconds:g} seconds")
 def all_know(context, seconds):
     world = context.world
-    assert world.until_known(seconds) < seconds, world.ignorant()
+    assert world.run_until_leader_known(seconds) < seconds, world.without_leader()
 
 
 @when("a data hall without the decider is cut off for {seconds:g} seconds")
 def hall_cut(context, seconds):
     world = context.world
     hall = other_halls(world)[0]
-    world.cuts.add(hall)
+    world.cut_off_halls.add(hall)
     names = [n for n, p in world.processes.items() if p.hall != hall]
-    context.longest = world.watch(seconds, names)
-    world.cuts.clear()
+    context.longest = world.longest_without_leader(seconds, names)
+    world.cut_off_halls.clear()
 
 
 @then(
@@ -149,23 +151,23 @@
 @then("after the cut everybody knows it within {seconds:g} seconds")
 def known_after_cut(context, seconds):
     world = context.world
-    assert world.until_known(seconds) < seconds, world.ignorant()
+    assert world.run_until_leader_known(seconds) < seconds, world.without_leader()
 
 
 @when("the decider's data hall is cut off for {seconds:g} seconds")
 def decider_cut(context, seconds):
     world = context.world
-    world.cuts.add(world.scheduler().hall)
+    world.cut_off_halls.add(world.leader().hall)
     context.killed_at = world.now
     world.run(seconds)
-    world.cuts.clear()
+    world.cut_off_halls.clear()
 
 
 @then("one process elsewhere has taken its place within {seconds:g} seconds")
 def taken_elsewhere(context, seconds):
-    taken = context.world.taken
-    assert len(taken) == context.taken + 1, taken
-    assert taken[-1][0] - context.killed_at <= seconds, taken
+    take_overs = context.world.take_overs
+    assert len(take_overs) == context.take_overs + 1, take_overs
+    assert take_overs[-1][0] - context.killed_at <= seconds, take_overs
 
 
 @when(
@@ -173,9 +175,9 @@
 )
 def rolled(context, down, gap):
     world = context.world
-    names = [name for name in world.processes if name != world.last]
+    names = [name for name in world.processes if name != world.leader_name]
     for number, name in enumerate(names):
-        world.at(world.now + number * gap, world.kill, [name], down)
+        world.schedule(world.now + number * gap, world.kill, [name], down)
 
 
 @then(
@@ -187,8 +189,8 @@
     while world.now < end:
         world.run(0.05)
         settled = [n for n, p in world.processes.items() if world.now - p.up_at > 1.0]
-        ignorant = world.ignorant(settled)
-        since = {name: since.get(name, world.now) for name in ignorant}
+        without_leader = world.without_leader(settled)
+        since = {name: since.get(name, world.now) for name in without_leader}
         assert all(world.now - at <= most for at in since.values()), since
 
 
@@ -198,31 +200,31 @@
 def all_killed(context, former, ms):
     world = context.world
     world.store_s = ms / 1000.0
-    last = world.last
-    world.kill([last], 0.5 if former == "the decider too" else None)
-    world.kill([name for name in world.processes if name != last], 0.5)
+    leader_name = world.leader_name
+    world.kill([leader_name], 0.5 if former == "the decider too" else None)
+    world.kill([name for name in world.processes if name != leader_name], 0.5)
 
 
 @then("one process has taken over after {seconds:g} seconds, and everybody knows it")
 def one_took_over(context, seconds):
     world = context.world
     world.run(seconds)
-    assert len(world.taken) == context.taken + 1, world.taken
-    assert not world.ignorant(), world.ignorant()
+    assert len(world.take_overs) == context.take_overs + 1, world.take_overs
+    assert not world.without_leader(), world.without_leader()
 
 
 @when("the store answers nobody for {seconds:g} seconds")
 def store_away(context, seconds):
     world = context.world
-    world.tried.clear()
-    world.refused = set(world.processes)
+    world.attempted.clear()
+    world.refused_by_store = set(world.processes)
     world.run(seconds)
-    world.refused = set()
+    world.refused_by_store = set()
 
 
 @then("at most {most:d} processes have tried to take over meanwhile")
-def tried(context, most):
-    assert 0 < len(context.world.tried) <= most, context.world.tried
+def attempted(context, most):
+    assert 0 < len(context.world.attempted) <= most, context.world.attempted
 
 
 @then(
@@ -231,8 +233,8 @@
 def taken_once(context, seconds):
     world = context.world
     world.run(seconds)
-    assert len(world.taken) <= context.taken + 1, world.taken
-    assert not world.ignorant(), world.ignorant()
+    assert len(world.take_overs) <= context.take_overs + 1, world.take_overs
+    assert not world.without_leader(), world.without_leader()
 
 
 @when(
@@ -240,9 +242,9 @@
 )
 def refuses_two(context, seconds):
     world = context.world
-    first = world.scheduler().leadership.rank_successors(world.now)[0]
+    first = world.leader().leadership.rank_successors(world.now)[0]
     context.killed_at = world.now
-    world.refused = {world.last, first}
+    world.refused_by_store = {world.leader_name, first}
     world.run(seconds)
 
 
@@ -251,9 +253,9 @@
 )
 def one_within(context, seconds):
     world = context.world
-    assert len(world.taken) == context.taken + 1, world.taken
-    assert world.taken[-1][0] - context.killed_at <= seconds, world.taken
-    assert not world.ignorant(), world.ignorant()
+    assert len(world.take_overs) == context.take_overs + 1, world.take_overs
+    assert world.take_overs[-1][0] - context.killed_at <= seconds, world.take_overs
+    assert not world.without_leader(), world.without_leader()
 
 
 @then(
@@ -261,10 +263,10 @@
 )
 def in_other_halls(context, count, count2):
     world = context.world
-    scheduler = world.scheduler()
-    named = scheduler.leadership.rank_successors(world.now)[:count]
+    leader = world.leader()
+    named = leader.leadership.rank_successors(world.now)[:count]
     halls = {world.processes[name].hall for name in named}
-    assert len(halls) == count2 and scheduler.hall not in halls, halls
+    assert len(halls) == count2 and leader.hall not in halls, halls
 
 
 @when(
@@ -276,7 +278,7 @@
     world.delay = least / 1000.0
     world.run(2.0)
     context.killed_at = world.now
-    world.scheduler().frozen_until = world.now + s
+    world.leader().frozen_until = world.now + s
 
 
 @then(
@@ -292,9 +294,9 @@
             names = sorted(world.processes)
             kind = draw.choice(("cut", "heal", "kill", "freeze", "refuse", "many"))
             if kind == "cut":
-                world.cuts.add(f"h{draw.randrange(halls)}")
+                world.cut_off_halls.add(f"h{draw.randrange(halls)}")
             elif kind == "heal":
-                world.cuts.clear()
+                world.cut_off_halls.clear()
             elif kind == "kill":
                 world.kill(draw.sample(names, 3), draw.choice((0.5, 3.0)))
             elif kind == "many":
@@ -303,36 +305,36 @@
                 frozen = world.processes[draw.choice(names)]
                 frozen.frozen_until = world.now + draw.choice((1.0, 4.0))
             else:
-                world.refused = set(draw.sample(names, processes // 3))
+                world.refused_by_store = set(draw.sample(names, processes // 3))
             world.run(draw.choice((0.5, 2.0, 8.0)))
-        world.cuts.clear()
-        world.refused = set()
+        world.cut_off_halls.clear()
+        world.refused_by_store = set()
         world.run(4.0)
-        took = world.until_known(most)
-        assert took < most, (seed, world.ignorant())
-        settled = len(world.taken)
+        took = world.run_until_leader_known(most)
+        assert took < most, (seed, world.without_leader())
+        settled = len(world.take_overs)
         world.run(10.0)
-        assert len(world.taken) == settled, (seed, world.taken[-3:])
-        assert not world.ignorant(), (seed, world.ignorant())
+        assert len(world.take_overs) == settled, (seed, world.take_overs[-3:])
+        assert not world.without_leader(), (seed, world.without_leader())
 
 
 @when("{count:d} times a decider takes over, and is killed and started again {when}")
 def killed_and_back(context, count, when):
     world = context.world
-    context.took = []
+    context.durations = []
     for turn in range(count):
-        world.beats_lost = when != "once the store shows it"
-        world.kill([world.last], back_after=8.0)
-        assert world.until_decided(6.0, than=world.last) < 6.0
+        world.heartbeats_lost = when != "once the store shows it"
+        world.kill([world.leader_name], restart_after_s=8.0)
+        assert world.run_until_leader(6.0, other_than=world.leader_name) < 6.0
         world.run(world.random.choice((0.1, 0.25, 0.6)))
         if when == "as another process wakes up":
-            others = sorted(set(world.processes) - {world.last})
+            others = sorted(set(world.processes) - {world.leader_name})
             sleeper = world.processes[world.random.choice(others)]
             sleeper.frozen_until = world.now + 1.0
             world.run(0.95)
-        world.kill([world.last], back_after=world.random.uniform(0.02, 0.3))
-        context.took.append(world.until_decided(15.0))
-        world.beats_lost = False
+        world.kill([world.leader_name], restart_after_s=world.random.uniform(0.02, 0.3))
+        context.durations.append(world.run_until_leader(15.0))
+        world.heartbeats_lost = False
         world.run(9.0)
 
 
@@ -340,6 +342,6 @@
     "each time a process decides again within {most:g} seconds, {median:g} at the median"
 )
 def decides_again(context, most, median):
-    took = sorted(context.took)
+    took = sorted(context.durations)
     assert took[-1] <= most, took
     assert statistics.median(took) <= median, took
