--- a/features/steps/native_steps.py
+++ b/features/steps/native_steps.py
@@ -36,12 +36,12 @@
 
 
 @when("a job of 3 tasks, then 2 that depend on them, is handed in")
-def hand_in(context):
+def submit_job(context):
     context.cluster.submit(JOB, TWO_STEPS)
 
 
 @then("it is {state} as every node tells")
-def told(context, state):
+def has_state_at_every_node(context, state):
     cluster = context.cluster
     alive = [n for n in cluster.nodes() if cluster.processes[n].poll() is None]
     for name in alive:
@@ -126,7 +126,7 @@
     context.jobs = [f"{number:016x}" for number in range(40)]
     context.answers = []
 
-    def hand_in_some(jobs):
+    def submit_jobs(jobs):
         for job in jobs:
             body = {"spec": "50", "steps": step}
             # The balancer sends new connections elsewhere; open ones stay.
@@ -135,7 +135,7 @@
             time.sleep(0.04)
 
     with concurrent.futures.ThreadPoolExecutor(4) as pool:
-        parts = [pool.submit(hand_in_some, context.jobs[i::4]) for i in range(4)]
+        parts = [pool.submit(submit_jobs, context.jobs[i::4]) for i in range(4)]
         time.sleep(0.15)
         cluster.kill(leader, signal.SIGTERM)
         for part in parts:
@@ -144,7 +144,7 @@
 
 
 @then("no request was cut and no answer was late or unclear")
-def none_cut(context):
+def all_answered(context):
     assert context.answers == [200] * 40, context.answers
 
 
@@ -156,7 +156,7 @@
 
 
 @then("malformed requests are answered 400, 404, 410 or 413, and nothing is kept")
-def malformed(context):
+def malformed_requests_rejected(context):
     cluster = context.cluster
     front = cluster.fronts["n1"]
 
@@ -216,7 +216,7 @@
 
 
 @then("the figures count the refusal and the lost store")
-def figures(context):
+def metrics_count_refusal(context):
     cluster = context.cluster
     leader = cluster.leader()
     address = cluster.fronts[leader].split(":")[0] + ":9464"
@@ -231,8 +231,8 @@
     logs = ",".join(str(context.folder / f"{name}.log") for name in cluster.nodes())
     command = ["-m", "granitetrestle.cli", "explain", JOB, "--logs", logs, "--json"]
     out = subprocess.run([sys.executable, *command], capture_output=True, check=True)
-    moments = json.loads(out.stdout)
-    events = [moment["event"] for moment in moments]
+    entries = json.loads(out.stdout)
+    events = [entry["event"] for entry in entries]
     assert "store_lost" in events and "request_failed" in events, events
     assert events.index("store_lost") < events.index("request_failed"), events
     missing = [*command[:3], "ffffffffffffffff", *command[4:]]
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -144,7 +144,7 @@
 @then(
     "in the other halls nobody was without the decider for longer than {most:g} seconds"
 )
-def others_know(context, most):
+def other_halls_know_leader(context, most):
     assert context.longest <= most, context.longest
 
 
@@ -173,7 +173,7 @@
 @when(
     "all but the decider are killed in turn, each for {down:g} seconds, one every {gap:g}"
 )
-def rolled(context, down, gap):
+def killed_in_turn(context, down, gap):
     world = context.world
     names = [name for name in world.processes if name != world.leader_name]
     for number, name in enumerate(names):
@@ -183,7 +183,7 @@
 @then(
     "for {span:g} seconds nobody that runs for a second is without the decider for {most:g}"
 )
-def roll_informed(context, span, most):
+def settled_know_leader(context, span, most):
     world = context.world
     since, end = {}, world.now + span
     while world.now < end:
