--- a/features/report_world.py
+++ b/features/report_world.py
@@ -1,6 +1,7 @@
-"""A deployment's processes in virtual time: the real reports between them over a model
-of the network, and the rule by which a process takes over. What a process does about a
-decider that is gone is here as in ``Node``, without its store's details."""
+"""Simulation of a deployment's processes in virtual time.
+
+The program's own reports travel over a model of the network. Take-over follows the
+rules of ``Node``, with a simplified store."""
 
 import heapq
 import itertools
@@ -15,12 +16,12 @@
 HEARTBEAT_TIMEOUT_S = 1.4
 LEADER_CHECK_INTERVAL_S = 0.2
 MESSAGE_DELAY_S = 0.002
-# What a process has not taken from a connection when it is given up is lost.
+# A connection to a stalled process closes after this; messages not received are lost.
 CONNECTION_TIMEOUT_S = 1.0
 
 
 class Process:
-    """A process's part: reports, and taking over."""
+    """A simulated process: its reports and take-overs."""
 
     def __init__(self, world, name, hall, cores, start, known=()):
         self.world, self.name, self.hall, self.cores = world, name, hall, cores
@@ -34,7 +35,7 @@
         self.start(start)
 
     def start(self, now):
-        """A new life."""
+        """Start a new incarnation."""
         self.incarnation = next(self.world.incarnations)
         self.up_at = now
         self.dead = False
@@ -164,7 +165,7 @@
 
 
 class ReportWorld:
-    """``count`` processes in ``halls`` halls; three in each are larger."""
+    """``count`` processes in ``halls`` data halls; three in each have more cores."""
 
     def __init__(self, seed, count, halls, store_s=0.004):
         self.random = random.Random(seed)
@@ -172,7 +173,7 @@
         self.incarnations = itertools.count(1)
         self.epoch, self.leader_name = 0, ""
         self.heartbeat = (0, 0.0)
-        # What the store shows of who decides, and whether it takes no news of that.
+        # Epoch and leader in the store, and whether writes of them are lost.
         self.stored_leader = (0, "")
         self.heartbeats_lost = False
         self.take_overs = []
@@ -257,7 +258,7 @@
         self.take_overs.append((now, process.name))
 
     def write_heartbeat(self, now):
-        """Let the store show the decider, unless that write is lost."""
+        """Write the leader and its heartbeat to the store, unless writes are lost."""
         if not self.heartbeats_lost:
             self.heartbeat = (self.epoch, now)
             self.stored_leader = (self.epoch, self.leader_name)
@@ -284,12 +285,12 @@
         return self.processes[self.leader_name]
 
     def has_leader(self):
-        """Say whether a process is at work as the decider."""
+        """Return whether the latest leader is alive and leads."""
         scheduler = self.processes[self.leader_name]
         return scheduler.leading and not scheduler.dead
 
     def without_leader(self, names=None):
-        """Who of ``names`` does not know the decider."""
+        """Return those of ``names`` that don't know the leader."""
         names = self.processes if names is None else names
         return [
             name
@@ -299,14 +300,14 @@
         ]
 
     def run_until_leader_known(self, timeout_s, names=None):
-        """Run until everybody knows the decider; returns the seconds it took."""
+        """Run until all processes know the leader; return the seconds it took."""
         started = self.now
         while self.without_leader(names) and self.now - started < timeout_s:
             self.run(0.02)
         return self.now - started
 
     def run_until_leader(self, timeout_s, other_than=None):
-        """Run until a process decides, another one than ``other_than``; returns the seconds."""
+        """Run until a process other than ``other_than`` leads; return the seconds."""
         started = self.now
         while self.now - started < timeout_s:
             if self.has_leader() and self.leader_name != other_than:
@@ -315,7 +316,7 @@
         return self.now - started
 
     def longest_without_leader(self, seconds, names=None):
-        """Run; returns the longest that anybody has not known the decider."""
+        """Run; return the longest time that any process did not know the leader."""
         longest, since = 0.0, {}
         end = self.now + seconds
         while self.now < end:
--- a/features/steps/answering_steps.py
+++ b/features/steps/answering_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over a decider that answers nothing."""
+"""Steps of the scenarios on a leader that answers no requests."""
 
 import collections
 import time
@@ -17,13 +17,13 @@
 
 
 class ForwardingProcess:
-    """A process that takes requests, and a decider that hears them."""
+    """A process that forwards requests to a leader, which receives them."""
 
     def __init__(self):
         self.forwarding = Forwarding(
             "me", "127.0.0.1:1", self.send, self.answer_locally
         )
-        self.target = Target("decider", 1)
+        self.target = Target("leader", 1)
         self.answers = False
         self.forwarded = []
         self.outcomes = []
@@ -36,7 +36,7 @@
         return True
 
     async def answer_locally(self, call):
-        raise AssertionError("another process decides")
+        raise AssertionError("another process is the leader")
 
     async def client(self, left_s):
         started = time.monotonic()
@@ -109,7 +109,7 @@
 @when("the decider answers again")
 def answers_again(context):
     context.process.answers = True
-    # The first that is tried all the same tells of it.
+    # The first probe request that is answered lifts the refusal.
     context.process.send_requests(8, 0.1, 3.0)
 
 
--- a/features/steps/forwarded_steps.py
+++ b/features/steps/forwarded_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over requests that other processes forward."""
+"""Steps of the scenarios on requests that other processes forward."""
 
 import anyio
 from behave import given
@@ -20,7 +20,7 @@
 
 
 class FakePeers:
-    """What a process hears is given; what it says is kept."""
+    """Stands in for the peer link: yields given messages and records those sent."""
 
     def __init__(self, received):
         self.received = received
@@ -59,7 +59,7 @@
 
 
 def forwarded_request(number, left_s):
-    """What a process hears of another that forwards a request."""
+    """Return the message of a process that forwards a request."""
     call = CallForwarded(number, "GET", "h", f"/{number}", b"", left_s, "a:1")
     return Envelope("n2", "n2-1", call)
 
@@ -91,7 +91,7 @@
     )
 
     async def script():
-        # A decider, as far as requests are concerned.
+        # The node is the leader as far as requests are concerned.
         node._session, node._serving = object(), True
         async with anyio.create_task_group() as tasks:
             with anyio.move_on_after(1.2):
--- a/features/steps/heard_steps.py
+++ b/features/steps/heard_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenario over how long ago a node heard the decider."""
+"""Steps of the scenario on how long ago a node heard the leader."""
 
 import signal
 import time
@@ -9,7 +9,7 @@
 METRIC = "decider_heard_s_ago"
 
 
-@when("the decider stands still for {seconds:g} seconds and goes on")
+@when("the leader stalls for {seconds:g} seconds and resumes")
 def decider_stands_still(context, seconds):
     cluster = context.cluster
     leader = cluster.leader()
@@ -25,7 +25,7 @@
 
 
 @then(
-    "it was heard over {seconds:g} seconds ago meanwhile, and each node hears a decider "
+    "it was heard over {seconds:g} seconds ago meanwhile, and each node hears a leader "
     "again"
 )
 def heard_again(context, seconds):
--- a/features/steps/native_steps.py
+++ b/features/steps/native_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over real processes on the platform in small."""
+"""Steps of the end-to-end scenarios with real processes."""
 
 import concurrent.futures
 import json
@@ -32,15 +32,15 @@
             ),
             f"{name} ready",
         )
-    cluster.wait(lambda: cluster.state(JOB) == "gone", "a decider")
+    cluster.wait(lambda: cluster.state(JOB) == "gone", "a leader")
 
 
-@when("a job of 3 tasks, then 2 that depend on them, is handed in")
+@when("a job of 3 tasks, then 2 that depend on them, is submitted")
 def submit_job(context):
     context.cluster.submit(JOB, TWO_STEPS)
 
 
-@then("it is {state} as every node tells")
+@then("it is {state} at every node")
 def has_state_at_every_node(context, state):
     cluster = context.cluster
     alive = [n for n in cluster.nodes() if cluster.processes[n].poll() is None]
@@ -67,7 +67,7 @@
     assert len(done) == len(set(done)), done
 
 
-@then("the same id handed in again is the same job")
+@then("the same id submitted again is the same job")
 def same_job(context):
     before = context.cluster.history()
     context.cluster.submit(JOB, TWO_STEPS)
@@ -76,7 +76,7 @@
     assert context.cluster.state(JOB) == "completed"
 
 
-@when("a job that runs for a minute is handed in and cancelled while it runs")
+@when("a job that runs for a minute is submitted and cancelled while it runs")
 def cancel_running(context):
     cluster = context.cluster
     cluster.submit(JOB, [{"count": 2, "cpu": 1000, "mem_mb": 100}], spec="60000")
@@ -94,7 +94,7 @@
     assert len(cluster.history()) == 2
 
 
-@when("a job runs and the decider is killed")
+@when("a job runs and the leader is killed")
 def kill_decider(context):
     cluster = context.cluster
     cluster.submit(JOB, TWO_STEPS, spec="1500")
@@ -102,7 +102,7 @@
     cluster.kill(cluster.leader())
 
 
-@when("every node is killed right after a job was accepted, and started again")
+@when("every node is killed right after a job was accepted, and restarted")
 def kill_all(context):
     cluster = context.cluster
     cluster.submit(JOB, TWO_STEPS)
@@ -112,13 +112,13 @@
         cluster.restart(name)
 
 
-@when("the answers to the next {count:d} appends are lost and a job is handed in")
+@when("the answers to the next {count:d} appends are lost and a job is submitted")
 def lose_answers(context, count):
     context.cluster.store(f"/test/lose?n={count}")
     context.cluster.submit(JOB, TWO_STEPS)
 
 
-@when("the decider gets SIGTERM while jobs are handed in on open connections")
+@when("the leader gets SIGTERM while jobs are submitted on open connections")
 def stop_decider(context):
     cluster = context.cluster
     leader = cluster.leader()
@@ -143,7 +143,7 @@
     cluster.processes[leader].wait(6)
 
 
-@then("no request was cut and no answer was late or unclear")
+@then("no request was cut off and no answer was late or of unknown outcome")
 def all_answered(context):
     assert context.answers == [200] * 40, context.answers
 
@@ -155,7 +155,7 @@
         cluster.wait(lambda j=job: cluster.state(j) == "completed", f"{job} completed")
 
 
-@then("malformed requests are answered 400, 404, 410 or 413, and nothing is kept")
+@then("malformed requests are answered 400, 404, 410 or 413, and no job is stored")
 def malformed_requests_rejected(context):
     cluster = context.cluster
     front = cluster.fronts["n1"]
@@ -180,7 +180,7 @@
     assert (status, json.loads(content)) == (200, {"pending": 0})
 
 
-@when("the store goes away and a job is handed in")
+@when("the store stops answering and a job is submitted")
 def store_away(context):
     cluster = context.cluster
     os.kill(cluster.processes["platform"].pid, signal.SIGSTOP)
@@ -194,13 +194,13 @@
     os.kill(cluster.processes["platform"].pid, signal.SIGCONT)
 
 
-@then("it is refused with a time to come back")
+@then("it is refused with a retry delay")
 def refused(context):
     assert context.answer[0] == 503, context.answer
     assert int(context.answer[2]) > 0, context.answer
 
 
-@then("the logs tell the cause of the refusal from the request's path")
+@then("the logs show the cause of the refusal by the request's path")
 def cause_in_logs(context):
     cluster = context.cluster
     lines = cluster.log(cluster.leader())
@@ -215,7 +215,7 @@
     assert any(line["event"] == "store_lost" for line in lines), lines
 
 
-@then("the figures count the refusal and the lost store")
+@then("the metrics count the refusal and the lost store")
 def metrics_count_refusal(context):
     cluster = context.cluster
     leader = cluster.leader()
@@ -225,7 +225,7 @@
     assert 'granitetrestle_events_total{event="store_lost"}' in text, text
 
 
-@then("explain makes one timeline of all machines' logs, with the lost store in it")
+@then("explain prints one timeline of all nodes' logs, with the lost store in it")
 def explained(context):
     cluster = context.cluster
     logs = ",".join(str(context.folder / f"{name}.log") for name in cluster.nodes())
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over reports between processes."""
+"""Steps of the scenarios on reports between processes."""
 
 import random
 import statistics
@@ -11,7 +11,7 @@
 
 
 @given(
-    "a deployment of {count:d} processes in {halls:d} data halls, at work for {s:g} seconds"
+    "a deployment of {count:d} processes in {halls:d} data halls, up for {s:g} seconds"
 )
 def deployment(context, count, halls, s):
     context.world = ReportWorld(count, count, halls)
@@ -47,7 +47,7 @@
     assert rate <= most, rate
 
 
-@then("the decider at most {most:g}")
+@then("the leader at most {most:g}")
 def decider_rate(context, most):
     rate = rates(context, lambda p: p.leading)
     assert 0 < rate <= most, rate
@@ -58,13 +58,13 @@
     assert len(context.world.take_overs) <= times, context.world.take_overs
 
 
-@when("the decider is killed")
+@when("the leader is killed")
 def decider_killed(context):
     context.killed_at = context.world.now
     context.world.kill([context.world.leader_name])
 
 
-@then("one process takes its place within {seconds:g} seconds")
+@then("one process takes over within {seconds:g} seconds")
 def takes_place(context, seconds):
     context.world.run(seconds)
     assert len(context.world.take_overs) == context.take_overs + 1, (
@@ -73,7 +73,7 @@
     assert context.world.take_overs[-1][0] - context.killed_at <= seconds
 
 
-@then("everybody knows it within {seconds:g} seconds after that")
+@then("all processes know it within {seconds:g} seconds after that")
 def known_after(context, seconds):
     world = context.world
     assert world.run_until_leader_known(seconds) <= seconds, world.without_leader()
@@ -93,7 +93,7 @@
 
 
 @when(
-    "two relays of one data hall are killed and one elsewhere stands still for {s:g} seconds"
+    "two relays of one data hall are killed and one elsewhere stalls for {s:g} seconds"
 )
 def relays_die(context, s):
     world = context.world
@@ -105,7 +105,8 @@
 
 
 @then(
-    "for {span:g} seconds nobody is without the decider for longer than {most:g} seconds"
+    "for {span:g} seconds no process is without a leader for longer than "
+    "{most:g} seconds"
 )
 def nobody_without(context, span, most):
     names = set(context.world.processes) - {context.frozen}
@@ -113,25 +114,25 @@
     assert longest <= most, longest
 
 
-@then("nobody else has taken over")
+@then("no other process has taken over")
 def nobody_else(context):
     assert len(context.world.take_overs) == context.take_overs, context.world.take_overs
 
 
-@when("all relays of a data hall without the decider are killed for good")
+@when("all relays of a data hall without the leader are killed for good")
 def hall_relays_die(context):
     world = context.world
     world.kill(relays(world, other_halls(world)[0]))
     world.run(1.0)
 
 
-@then("everybody knows the decider within {seconds:g} seconds")
+@then("all processes know the leader within {seconds:g} seconds")
 def all_know(context, seconds):
     world = context.world
     assert world.run_until_leader_known(seconds) < seconds, world.without_leader()
 
 
-@when("a data hall without the decider is cut off for {seconds:g} seconds")
+@when("a data hall without the leader is cut off for {seconds:g} seconds")
 def hall_cut(context, seconds):
     world = context.world
     hall = other_halls(world)[0]
@@ -142,19 +143,20 @@
 
 
 @then(
-    "in the other halls nobody was without the decider for longer than {most:g} seconds"
+    "in the other halls no process was without a leader for longer than "
+    "{most:g} seconds"
 )
 def other_halls_know_leader(context, most):
     assert context.longest <= most, context.longest
 
 
-@then("after the cut everybody knows it within {seconds:g} seconds")
+@then("after the cut all processes know the leader within {seconds:g} seconds")
 def known_after_cut(context, seconds):
     world = context.world
     assert world.run_until_leader_known(seconds) < seconds, world.without_leader()
 
 
-@when("the decider's data hall is cut off for {seconds:g} seconds")
+@when("the leader's data hall is cut off for {seconds:g} seconds")
 def decider_cut(context, seconds):
     world = context.world
     world.cut_off_halls.add(world.leader().hall)
@@ -163,7 +165,7 @@
     world.cut_off_halls.clear()
 
 
-@then("one process elsewhere has taken its place within {seconds:g} seconds")
+@then("one process elsewhere has taken over within {seconds:g} seconds")
 def taken_elsewhere(context, seconds):
     take_overs = context.world.take_overs
     assert len(take_overs) == context.take_overs + 1, take_overs
@@ -171,7 +173,8 @@
 
 
 @when(
-    "all but the decider are killed in turn, each for {down:g} seconds, one every {gap:g}"
+    "all but the leader are killed in turn, each for {down:g} seconds, "
+    "one every {gap:g}"
 )
 def killed_in_turn(context, down, gap):
     world = context.world
@@ -181,7 +184,7 @@
 
 
 @then(
-    "for {span:g} seconds nobody that runs for a second is without the decider for {most:g}"
+    "for {span:g} seconds no process up for a second is without a leader for {most:g}"
 )
 def settled_know_leader(context, span, most):
     world = context.world
@@ -194,18 +197,16 @@
         assert all(world.now - at <= most for at in since.values()), since
 
 
-@when(
-    "all are killed and start again, {former}, with a store that answers in {ms:d} ms"
-)
+@when("all are killed and restart, {former}, with a store that answers in {ms:d} ms")
 def all_killed(context, former, ms):
     world = context.world
     world.store_s = ms / 1000.0
     leader_name = world.leader_name
-    world.kill([leader_name], 0.5 if former == "the decider too" else None)
+    world.kill([leader_name], 0.5 if former == "the leader too" else None)
     world.kill([name for name in world.processes if name != leader_name], 0.5)
 
 
-@then("one process has taken over after {seconds:g} seconds, and everybody knows it")
+@then("one process has taken over after {seconds:g} seconds, and all processes know it")
 def one_took_over(context, seconds):
     world = context.world
     world.run(seconds)
@@ -213,7 +214,7 @@
     assert not world.without_leader(), world.without_leader()
 
 
-@when("the store answers nobody for {seconds:g} seconds")
+@when("the store answers no process for {seconds:g} seconds")
 def store_away(context, seconds):
     world = context.world
     world.attempted.clear()
@@ -222,14 +223,12 @@
     world.refused_by_store = set()
 
 
-@then("at most {most:d} processes have tried to take over meanwhile")
+@then("at most {most:d} processes have attempted to take over meanwhile")
 def attempted(context, most):
     assert 0 < len(context.world.attempted) <= most, context.world.attempted
 
 
-@then(
-    "at most 1 has taken over {seconds:g} seconds later, and everybody knows who decides"
-)
+@then("at most 1 has taken over {seconds:g} seconds later, and all know the leader")
 def taken_once(context, seconds):
     world = context.world
     world.run(seconds)
@@ -238,7 +237,8 @@
 
 
 @when(
-    "the store answers all but the decider and its first successor for {seconds:g} seconds"
+    "the store answers all but the leader and its first successor "
+    "for {seconds:g} seconds"
 )
 def refuses_two(context, seconds):
     world = context.world
@@ -249,7 +249,7 @@
 
 
 @then(
-    "one process has taken over within {seconds:g} seconds, and everybody knows it at the end"
+    "one process has taken over within {seconds:g} seconds, and all know it at the end"
 )
 def one_within(context, seconds):
     world = context.world
@@ -259,7 +259,7 @@
 
 
 @then(
-    "the first {count:d} successors are in {count2:d} other data halls than the decider"
+    "the first {count:d} successors are in {count2:d} other data halls than the leader"
 )
 def in_other_halls(context, count, count2):
     world = context.world
@@ -269,9 +269,7 @@
     assert len(halls) == count2 and leader.hall not in halls, halls
 
 
-@when(
-    "reports take {least:d} to {most:d} ms, and the decider stands still for {s:g} seconds"
-)
+@when("reports take {least:d} to {most:d} ms, and the leader stalls for {s:g} seconds")
 def slow_reports(context, least, most, s):
     world = context.world
     assert most == 2 * least
@@ -318,7 +316,7 @@
         assert not world.without_leader(), (seed, world.without_leader())
 
 
-@when("{count:d} times a decider takes over, and is killed and started again {when}")
+@when("{count:d} times a process takes over, and is killed and restarted {when}")
 def killed_and_back(context, count, when):
     world = context.world
     context.durations = []
@@ -339,7 +337,7 @@
 
 
 @then(
-    "each time a process decides again within {most:g} seconds, {median:g} at the median"
+    "each time a process leads again within {most:g} seconds, {median:g} at the median"
 )
 def decides_again(context, most, median):
     took = sorted(context.durations)
