--- a/features/report_world.py
+++ b/features/report_world.py
@@ -286,8 +286,8 @@
 
     def has_leader(self):
         """Return whether the latest leader is alive and leads."""
-        scheduler = self.processes[self.leader_name]
-        return scheduler.leading and not scheduler.dead
+        leader = self.processes[self.leader_name]
+        return leader.leading and not leader.dead
 
     def without_leader(self, names=None):
         """Return those of ``names`` that don't know the leader."""
--- a/features/steps/answering_steps.py
+++ b/features/steps/answering_steps.py
@@ -114,7 +114,7 @@
 
 
 @when("another decider is known that answers")
-def another_decider(context):
+def another_leader(context):
     context.process.target = Target("another", 2)
     context.process.answers = True
 
--- a/features/steps/forwarded_steps.py
+++ b/features/steps/forwarded_steps.py
@@ -76,7 +76,7 @@
 
 
 @given("a decider whose answers take {seconds:g} seconds")
-def slow_decider(context, seconds):
+def slow_leader(context, seconds):
     context.responder = SlowResponder(seconds)
 
 
--- a/features/steps/heard_steps.py
+++ b/features/steps/heard_steps.py
@@ -10,7 +10,7 @@
 
 
 @when("the leader stalls for {seconds:g} seconds and resumes")
-def decider_stands_still(context, seconds):
+def leader_stalls(context, seconds):
     cluster = context.cluster
     leader = cluster.leader()
     (other,) = set(cluster.nodes()) - {leader}
--- a/features/steps/native_steps.py
+++ b/features/steps/native_steps.py
@@ -95,7 +95,7 @@
 
 
 @when("a job runs and the leader is killed")
-def kill_decider(context):
+def kill_leader(context):
     cluster = context.cluster
     cluster.submit(JOB, TWO_STEPS, spec="1500")
     cluster.wait(lambda: len(cluster.history()) == 3, "first step started")
@@ -119,7 +119,7 @@
 
 
 @when("the leader gets SIGTERM while jobs are submitted on open connections")
-def stop_decider(context):
+def stop_leader(context):
     cluster = context.cluster
     leader = cluster.leader()
     step = [{"count": 1, "cpu": 100, "mem_mb": 10}]
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -48,7 +48,7 @@
 
 
 @then("the leader at most {most:g}")
-def decider_rate(context, most):
+def leader_rate(context, most):
     rate = rates(context, lambda p: p.leading)
     assert 0 < rate <= most, rate
 
@@ -59,7 +59,7 @@
 
 
 @when("the leader is killed")
-def decider_killed(context):
+def leader_killed(context):
     context.killed_at = context.world.now
     context.world.kill([context.world.leader_name])
 
@@ -108,14 +108,14 @@
     "for {span:g} seconds no process is without a leader for longer than "
     "{most:g} seconds"
 )
-def nobody_without(context, span, most):
+def max_time_without_leader(context, span, most):
     names = set(context.world.processes) - {context.frozen}
     longest = context.world.longest_without_leader(span, names)
     assert longest <= most, longest
 
 
 @then("no other process has taken over")
-def nobody_else(context):
+def no_other_take_over(context):
     assert len(context.world.take_overs) == context.take_overs, context.world.take_overs
 
 
@@ -133,7 +133,7 @@
 
 
 @when("a data hall without the leader is cut off for {seconds:g} seconds")
-def hall_cut(context, seconds):
+def hall_cut_off(context, seconds):
     world = context.world
     hall = other_halls(world)[0]
     world.cut_off_halls.add(hall)
@@ -157,7 +157,7 @@
 
 
 @when("the leader's data hall is cut off for {seconds:g} seconds")
-def decider_cut(context, seconds):
+def leader_hall_cut_off(context, seconds):
     world = context.world
     world.cut_off_halls.add(world.leader().hall)
     context.killed_at = world.now
@@ -339,7 +339,7 @@
 @then(
     "each time a process leads again within {most:g} seconds, {median:g} at the median"
 )
-def decides_again(context, most, median):
+def leads_again(context, most, median):
     took = sorted(context.durations)
     assert took[-1] <= most, took
     assert statistics.median(took) <= median, took
