--- a/features/steps/native_steps.py
+++ b/features/steps/native_steps.py
@@ -181,7 +181,7 @@
 
 
 @when("the store stops answering and a job is submitted")
-def store_away(context):
+def store_stops_answering(context):
     cluster = context.cluster
     os.kill(cluster.processes["platform"].pid, signal.SIGSTOP)
     time.sleep(2.5)
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -54,7 +54,7 @@
 
 
 @then("1 process has taken over at most {times:d} times")
-def taken_at_most(context, times):
+def max_take_overs(context, times):
     assert len(context.world.take_overs) <= times, context.world.take_overs
 
 
@@ -65,7 +65,7 @@
 
 
 @then("one process takes over within {seconds:g} seconds")
-def takes_place(context, seconds):
+def takes_over_within(context, seconds):
     context.world.run(seconds)
     assert len(context.world.take_overs) == context.take_overs + 1, (
         context.world.take_overs
@@ -95,7 +95,7 @@
 @when(
     "two relays of one data hall are killed and one elsewhere stalls for {s:g} seconds"
 )
-def relays_die(context, s):
+def relays_killed_and_stalled(context, s):
     world = context.world
     one, other = other_halls(world)[:2]
     world.kill(relays(world, one)[:2])
@@ -120,7 +120,7 @@
 
 
 @when("all relays of a data hall without the leader are killed for good")
-def hall_relays_die(context):
+def hall_relays_killed(context):
     world = context.world
     world.kill(relays(world, other_halls(world)[0]))
     world.run(1.0)
@@ -166,7 +166,7 @@
 
 
 @then("one process elsewhere has taken over within {seconds:g} seconds")
-def taken_elsewhere(context, seconds):
+def taken_over_elsewhere(context, seconds):
     take_overs = context.world.take_overs
     assert len(take_overs) == context.take_overs + 1, take_overs
     assert take_overs[-1][0] - context.killed_at <= seconds, take_overs
@@ -215,7 +215,7 @@
 
 
 @when("the store answers no process for {seconds:g} seconds")
-def store_away(context, seconds):
+def store_stops_answering(context, seconds):
     world = context.world
     world.attempted.clear()
     world.refused_by_store = set(world.processes)
@@ -229,7 +229,7 @@
 
 
 @then("at most 1 has taken over {seconds:g} seconds later, and all know the leader")
-def taken_once(context, seconds):
+def taken_over_once(context, seconds):
     world = context.world
     world.run(seconds)
     assert len(world.take_overs) <= context.take_overs + 1, world.take_overs
@@ -317,7 +317,7 @@
 
 
 @when("{count:d} times a process takes over, and is killed and restarted {when}")
-def killed_and_back(context, count, when):
+def killed_and_restarted(context, count, when):
     world = context.world
     context.durations = []
     for turn in range(count):
--- a/src/granitetrestle/membership.py
+++ b/src/granitetrestle/membership.py
@@ -98,8 +98,8 @@
 
     def roster(self) -> tuple[Member, ...]:
         """Return the relays that are not silent, and this process, sorted by name."""
-        named = {*self._live_relays, self._me.node}
-        return tuple(self._members[node] for node in sorted(named))
+        nodes = {*self._live_relays, self._me.node}
+        return tuple(self._members[node] for node in sorted(nodes))
 
     def find(self, node: str) -> Member | None:
         """Return a process by its name, even if expired; ``None`` if unknown."""
@@ -176,9 +176,9 @@
         for node, since in list(self._silent_since.items()):
             if now - since > EXPIRY_TIMEOUT_S:
                 self._expire(node, now)
-        uses_fallbacks = len(self._targets) > 1 and not self._relaying
+        uses_fallback = len(self._targets) > 1 and not self._relaying
         if self._stale or (
-            uses_fallbacks and now - self._silence_detected_at > FALLBACK_DURATION_S
+            uses_fallback and now - self._silence_detected_at > FALLBACK_DURATION_S
         ):
             self._select_targets(now)
 
@@ -262,8 +262,8 @@
         )
         if not ordered:
             return tuple(sorted(self._relays))
-        uses_fallbacks = now - self._silence_detected_at <= FALLBACK_DURATION_S
-        return tuple(ordered[: FALLBACK_UPSTREAMS if uses_fallbacks else 1])
+        uses_fallback = now - self._silence_detected_at <= FALLBACK_DURATION_S
+        return tuple(ordered[: FALLBACK_UPSTREAMS if uses_fallback else 1])
 
     def _relay_hash(self, relay: str) -> int:
         """Return a sort key of a relay that differs between processes, so that the load
