--- a/src/granitetrestle/membership.py
+++ b/src/granitetrestle/membership.py
@@ -61,6 +61,7 @@
         self._expired: dict[str, tuple[Member, float]] = {}
         self._expired_probed_at = 0.0
         self._cut_off = False
+        # Subscriber -> when it last subscribed.
         self._subscribed_at: dict[str, float] = {}
         self._relays: frozenset[str] = frozenset()
         self._live_relays: tuple[str, ...] = ()
@@ -68,7 +69,9 @@
         self._relaying = True
         self._leading = False
         self._leader = ""
+        # When a target last fell silent.
         self._silence_detected_at = -1e9
+        # Whether relays and targets must be selected again.
         self._stale = True
 
     @property
--- a/src/granitetrestle/reports.py
+++ b/src/granitetrestle/reports.py
@@ -66,7 +66,9 @@
         self._relayed_at = -1e9
         self._relayed_leader_heard_at = -1e9
         self._asked_members_at = -1e9
+        # Processes to which the connection was not open yet.
         self._unsent: set[str] = set()
+        # The leader and its address as peers last reported them.
         self._reported_address = ("", "")
         self._targets: tuple[str, ...] = ()
 
