--- a/features/steps/box_standin_steps.py
+++ b/features/steps/box_standin_steps.py
@@ -28,8 +28,8 @@
     looks_again=False,
 )
 SPEC = "60000:1000:100"
-SMALL = "60000:10:10"
-WIDE = "60000:9000:100"
+SMALL_SPEC = "60000:10:10"
+OVERSIZED_SPEC = "60000:9000:100"
 TASK = "t.0.0.0"
 EPOCH = 7
 
@@ -56,14 +56,14 @@
 
 
 @then("a look lists the ends {first:d} to {last:d}")
-def look_lists(context, first, last, known=0):
-    poll = context.box.poll(known, None, EPOCH, 101.0)
+def poll_lists(context, first, last, acknowledged=0):
+    poll = context.box.poll(acknowledged, None, EPOCH, 101.0)
     assert [row.number for row in poll.ended] == list(range(first, last + 1))
 
 
-@then("a look that confirms {known:d} lists the ends {first:d} to {last:d}")
-def confirming_look_lists(context, known, first, last):
-    look_lists(context, first, last, known)
+@then("a look that confirms {acknowledged:d} lists the ends {first:d} to {last:d}")
+def acknowledging_poll_lists(context, acknowledged, first, last):
+    poll_lists(context, first, last, acknowledged)
 
 
 @given(
@@ -80,7 +80,7 @@
     box = context.box
     until = until_ms(box, at, -0.001 if reason == "late" else lease)
     task, run = (TASK, 1) if reason == "old" else ("t.0.0.1", 1)
-    spec = WIDE if reason == "room" else SPEC
+    spec = OVERSIZED_SPEC if reason == "room" else SPEC
     epoch = EPOCH - 1 if reason == "fence" else EPOCH
     context.outcome = box.start(task, run, spec, until, epoch, at)
 
@@ -110,13 +110,13 @@
 
 
 @when("at {at:g} a look renews the lease for {lease:g} s")
-def look_renews(context, at, lease):
+def poll_renews(context, at, lease):
     box = context.box
     box.poll(0, until_ms(box, at, lease), EPOCH, at)
 
 
 @when("at {ended:g} it ends as done, and at {noted:g} its end is noted")
-def ends_and_noted(context, ended, noted):
+def ends_and_acknowledged(context, ended, noted):
     box = context.box
     box.tick(ended)
     box.end(TASK, "done", ended)
@@ -161,14 +161,14 @@
     assert [row.task for row in poll.running] == [TASK]
     assert not poll.ended
     # Beside what is being stopped there is room for seven of its kind, not for eight.
-    assert takes(context.box, "1:7500:100", context.at) == "room"
+    assert rejection_reason(context.box, "1:7500:100", context.at) == "room"
     poll = context.box.poll(0, None, EPOCH, context.at + longest)
     assert not poll.running
     assert [row.how for row in poll.ended] == [how]
-    assert takes(context.box, "1:7500:100", context.at + longest) is None
+    assert rejection_reason(context.box, "1:7500:100", context.at + longest) is None
 
 
-def takes(box, spec, now):
+def rejection_reason(box, spec, now):
     """Return why a start is refused, or ``None``."""
     until = until_ms(box, now, 4.0)
     outcome = box.start("t.0.0.9", 1, spec, until, EPOCH, now)
@@ -180,11 +180,11 @@
     box, now = context.box, context.at + 1.0
     for number in range(1, run + 2):
         until = until_ms(box, now, 4.0)
-        outcome = box.start(task, number, SMALL, until, EPOCH, now)
+        outcome = box.start(task, number, SMALL_SPEC, until, EPOCH, now)
         assert isinstance(outcome, CommandAccepted) == (number > run), outcome
 
 
-class Served:
+class ServedBox:
     """A box that is called as over HTTP, in this process."""
 
     def __init__(self, profile=PLAIN_BOX):
@@ -205,8 +205,8 @@
 
     async def start(self, epoch=EPOCH):
         until = int((time.monotonic() + 5.0) * 1000)
-        order = {"task": TASK, "run": 1, "spec": SPEC, "until_ms": until}
-        return await self.call("/api/run-start", **order, fencing_token=epoch)
+        command = {"task": TASK, "run": 1, "spec": SPEC, "until_ms": until}
+        return await self.call("/api/run-start", **command, fencing_token=epoch)
 
     def runs(self):
         facts = json.loads(self.server.hook("/test/facts", {}).body)
@@ -228,11 +228,11 @@
 @given("a served box that checks looks that wait {when}")
 def served(context, when):
     again = when == "all the while"
-    context.served = Served(PLAIN_BOX._replace(looks_again=again))
+    context.served = ServedBox(PLAIN_BOX._replace(looks_again=again))
 
 
 @when("a newer epoch looks while a look of an older one waits")
-def newer_looks(context):
+def newer_epoch_polls(context):
     served = context.served
 
     async def script():
@@ -251,7 +251,7 @@
 
 @given("a served box that answers no call for a moment")
 def answers_none(context):
-    context.served = Served()
+    context.served = ServedBox()
     context.served.server.hook("/test/late", {"share": "1", "s": "0.2"})
 
 
@@ -286,7 +286,7 @@
 
 @given("a served box that runs a task")
 def served_runs(context):
-    context.served = Served()
+    context.served = ServedBox()
 
 
 @when("it crashes for a moment")
@@ -306,7 +306,7 @@
 
 
 @then("calls get no answer, then another life answers 421 and lists nothing")
-def another_life(context):
+def next_incarnation_answers(context):
     assert context.down is None
     assert context.other[0] == 421
     assert context.lists["running"] == context.lists["finished"] == []
@@ -330,7 +330,7 @@
 
 
 @then("calls under that id reach the new life, which knows nothing of the one before")
-def new_life_answers(context):
+def restarted_box_answers(context):
     status, lists = context.again
     assert status == 200, context.again
     assert lists["running"] == lists["finished"] == [], lists
@@ -345,30 +345,32 @@
 
 
 @given('box b that takes a number of known ends for "{what}"')
-def takes_ends(context, what):
+def box_with_ends_rule(context, what):
     profile = PROFILE._replace(ends_told=EndsTold(what))
     context.box = BoxModel("b", profile=profile, draw=random.Random(1), born=100.0)
 
 
-@when("it has ended {count:d} runs, is told that {known:d} are known, and ends 1 more")
-def told_beyond(context, count, known):
+@when(
+    "it has ended {count:d} runs, is told that {acknowledged:d} are known, and ends 1 more"
+)
+def acknowledged_beyond(context, count, acknowledged):
     for number in range(count + 1):
         if number == count:
-            context.box.poll(known, None, EPOCH, 101.0)
+            context.box.poll(acknowledged, None, EPOCH, 101.0)
         until = until_ms(context.box, 101.0, 4.0)
         context.box.start(f"t.0.0.{number}", 1, SPEC, until, EPOCH, 101.0)
         context.box.end(f"t.0.0.{number}", "done", 101.0)
 
 
 @then("its next look lists the ends {listed}")
-def then_lists(context, listed):
+def next_poll_lists(context, listed):
     poll = context.box.poll(0, None, EPOCH, 101.0)
     numbers = [str(row.number) for row in poll.ended]
     assert ", ".join(numbers) == listed.replace("none", ""), numbers
 
 
 @then("the facts tell of the run that crashed")
-def facts_tell(context):
+def facts_list_crashed_run(context):
     ((*_, ended, how, noted),) = context.served.runs()
     assert how == "crashed"
     assert ended is not None
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -37,7 +37,7 @@
 from granitetrestle_standins.nativestore import StoreModel
 from granitetrestle_standins.shardworld import CONFIG
 
-SOUND = {
+VALID_FIELDS = {
     "service": "pool",
     "address": "127.0.0.1:80",
     "zone": "h",
@@ -48,11 +48,11 @@
 
 
 def entry(**changes):
-    fields = {k: v for k, v in {**SOUND, **changes}.items() if v is not None}
+    fields = {k: v for k, v in {**VALID_FIELDS, **changes}.items() if v is not None}
     return json.dumps(fields).encode()
 
 
-FOREIGN = {
+INVALID_ENTRIES = {
     "of bytes that are no text": b"\xff\xfe\x00\x80",
     "that is cut short": entry()[:20],
     "that is no table": b"[1, 2]",
@@ -68,12 +68,12 @@
 }
 
 
-class Lines:
+class EventRecorder:
     def __init__(self):
-        self.lines = []
+        self.events = []
 
     def event(self, event, /, **fields):
-        self.lines.append((event, fields))
+        self.events.append((event, fields))
 
 
 class ListedBoxes:
@@ -82,63 +82,63 @@
     def __init__(self):
         self.scheduler = Scheduler(SchedulerParameters(), time.monotonic())
         self.scheduler.apply_config(CONFIG)
-        self.log = Lines()
-        self.watched = []
+        self.log = EventRecorder()
+        self.polled = []
         sources = Sources(None, None, "", "", None, decode_entry)
         self.feed = BoxFeed(sources, self.scheduler, self.apply, self.log)
 
     def apply(self, decisions):
-        self.watched += [
-            d.incarnation for d in decisions if isinstance(d, StartPolling)
-        ]
+        self.polled += [d.incarnation for d in decisions if isinstance(d, StartPolling)]
 
-    def begin(self, *records):
+    def load(self, *records):
         self.feed.load(NewestRecords(records, 0))
 
-    def follow(self, *records):
+    def update(self, *records):
         self.feed._apply_records(records)
 
-    def used(self):
+    def usable(self):
         boxes = self.scheduler.state.boxes
         return sorted(incarnation for incarnation, box in boxes.items() if box.listed)
 
 
 @when("the list of boxes holds a sound entry and one {what}")
-def foreign_entry(context, what):
+def invalid_entry_listed(context, what):
     context.listed = listed = ListedBoxes()
-    foreign = Record("foreign", FOREIGN[what])
-    listed.begin(Record("sound", entry()), foreign)
+    invalid = Record("foreign", INVALID_ENTRIES[what])
+    listed.load(Record("sound", entry()), invalid)
     for _ in range(3):
-        listed.follow(foreign)
+        listed.update(invalid)
 
 
 @when(
     "the list of boxes holds two sound entries, and one is overwritten with bytes that "
     "are no text"
 )
-def overwritten(context):
+def entry_overwritten(context):
     context.listed = listed = ListedBoxes()
-    listed.begin(
+    listed.load(
         Record("sound", entry()), Record("foreign", entry(address="127.0.0.2:80"))
     )
-    assert listed.used() == ["foreign", "sound"]
+    assert listed.usable() == ["foreign", "sound"]
     for _ in range(3):
-        listed.follow(Record("foreign", b"\xff\xfe"))
+        listed.update(Record("foreign", b"\xff\xfe"))
 
 
 @then("only the sound one is used, and the other is said once, with its key")
-def only_sound(context):
+def only_valid_used(context):
     listed = context.listed
-    assert listed.used() == ["sound"], listed.used()
-    said = [fields for event, fields in listed.log.lines if event == "box_malformed"]
-    assert [fields["box"] for fields in said] == ["foreign"], listed.log.lines
+    assert listed.usable() == ["sound"], listed.usable()
+    reported = [
+        fields for event, fields in listed.log.events if event == "box_malformed"
+    ]
+    assert [fields["box"] for fields in reported] == ["foreign"], listed.log.events
 
 
 @then("once it can be read again it is used again")
 def used_again(context):
     listed = context.listed
-    listed.follow(Record("foreign", entry(address="127.0.0.2:80")))
-    assert listed.used() == ["foreign", "sound"]
+    listed.update(Record("foreign", entry(address="127.0.0.2:80")))
+    assert listed.usable() == ["foreign", "sound"]
 
 
 @when("the entries of processes hold a sound one, and others by another writer")
@@ -148,22 +148,25 @@
 
     async def fill():
         await registry.register("n1", NodeEntry("127.0.0.1:7000", "h", 1.0))
-        foreign = [b"\xff", b"\xc1", b"\x93\x01\x02\x03", b"text", b"\x91\xa1x"]
-        records = [Record(f"node/f{i}", value) for i, value in enumerate(foreign)]
+        invalid = [b"\xff", b"\xc1", b"\x93\x01\x02\x03", b"text", b"\x91\xa1x"]
+        records = [Record(f"node/f{i}", value) for i, value in enumerate(invalid)]
         records.append(Record("leader", b"\xc1"))
         records.append(Record("something", b"\xc1"))
         await store.append("keyed.nodes", records, None, 1.0)
         return await registry.read()
 
-    context.known = asyncio.run(fill())
+    context.registered = asyncio.run(fill())
 
 
 @then("the sound one is known, and the others are named")
-def sound_process(context):
-    known = context.known
-    assert sorted(known.nodes) == ["n1"], known
-    assert known.leader == LeaderEntry(), known
-    assert sorted(known.unreadable) == ["leader", *(f"node/f{i}" for i in range(5))]
+def valid_process_read(context):
+    registered = context.registered
+    assert sorted(registered.nodes) == ["n1"], registered
+    assert registered.leader == LeaderEntry(), registered
+    assert sorted(registered.unreadable) == [
+        "leader",
+        *(f"node/f{i}" for i in range(5)),
+    ]
 
 
 def record(key, value):
@@ -180,14 +183,14 @@
 
 
 @when("the store answers with a record whose key is no text, before a sound one")
-def foreign_key(context):
+def key_not_utf8(context):
     body = bytes(16) + record(b"\xff\xfe", b"1") + record(b"sound", b"2")
     store = PlatformStore("127.0.0.1:1", OneReply(body))
     context.read = asyncio.run(store.read("keyed.servers", 5, 0.0))
 
 
 @then("the sound one is read")
-def sound_read(context):
+def valid_record_read(context):
     assert isinstance(context.read, Records), context.read
     assert context.read.end == 7
     assert context.read.records[-1] == Record("sound", b"2"), context.read
@@ -229,7 +232,7 @@
 )
 
 
-def survives(body):
+def is_accepted(body):
     """Take up a job, or refuse it; go on as a successor does with what is written."""
     try:
         call = decode_call(QueueIndex(CONFIG), "POST", "host", f"/q/{'a' * 16}", body)
@@ -270,20 +273,20 @@
         suppress_health_check=list(HealthCheck),
     )
     @drawn(JOB)
-    def play(job):
-        taken.append(survives(json.dumps(job).encode()))
+    def submit_job(job):
+        taken.append(is_accepted(json.dumps(job).encode()))
 
-    play()
+    submit_job()
     assert 20 < sum(taken) < len(taken) - 20, (sum(taken), len(taken))
 
 
 @when(
     "another writer fills the list of boxes, and a client hands in numbers without end"
 )
-def foreign_at_work(context):
+def invalid_input_everywhere(context):
     cluster = context.cluster
     context.leader = cluster.leader()
-    for number, value in enumerate(FOREIGN.values()):
+    for number, value in enumerate(INVALID_ENTRIES.values()):
         encoded = urllib.parse.quote(base64.b64encode(value))
         cluster.store(f"/test/write?topic=keyed.servers&key=f{number}&value={encoded}")
     statuses = set()
@@ -296,7 +299,7 @@
 
 
 @then("the same decider goes on, and a job completes")
-def goes_on(context):
+def leader_stays(context):
     cluster = context.cluster
     job = "00000000000000f1"
     cluster.submit(job, [{"count": 2, "cpu": 1000, "mem_mb": 100}])
--- a/features/steps/hung_link_steps.py
+++ b/features/steps/hung_link_steps.py
@@ -10,7 +10,7 @@
 from granitetrestle.peerlink import PeerLink
 
 # More than a listener without a queue takes before it drops what opens a connection.
-FILLERS = 4
+QUEUED_CONNECTIONS = 4
 # What ZMTP, the protocol between processes, begins with.
 GREETING = b"\xff"
 
@@ -21,39 +21,39 @@
     context.listener.bind(("127.0.0.1", 0))
     context.listener.listen(0)
     context.address = context.listener.getsockname()
-    context.fillers = []
-    for _ in range(FILLERS):
-        filler = socket.socket()
-        filler.setblocking(False)
-        filler.connect_ex(context.address)
-        context.fillers.append(filler)
+    context.queued_sockets = []
+    for _ in range(QUEUED_CONNECTIONS):
+        queued_socket = socket.socket()
+        queued_socket.setblocking(False)
+        queued_socket.connect_ex(context.address)
+        context.queued_sockets.append(queued_socket)
     time.sleep(0.1)
 
 
 @when(
     "it opens a connection there, and {seconds:g} seconds later the peer answers again"
 )
-def opens_and_heals(context, seconds):
+def opens_and_recovers(context, seconds):
     link = PeerLink("n1", "n1-1", "secret", "127.0.0.1:0")
     context.add_cleanup(link.close)
     link.connect("n2", f"{context.address[0]}:{context.address[1]}")
     time.sleep(seconds)
-    for filler in context.fillers:
-        filler.close()
+    for queued_socket in context.queued_sockets:
+        queued_socket.close()
 
 
 @then("the connection stands within {seconds:g} seconds")
-def stands(context, seconds):
-    began = time.monotonic()
+def connection_opens(context, seconds):
+    started_at = time.monotonic()
     context.listener.settimeout(0.2)
-    while time.monotonic() - began < seconds:
+    while time.monotonic() - started_at < seconds:
         try:
-            channel, _ = context.listener.accept()
+            accepted, _ = context.listener.accept()
         except TimeoutError:
             continue
-        channel.settimeout(0.2)
+        accepted.settimeout(0.2)
         try:
-            if channel.recv(1) == GREETING:
+            if accepted.recv(1) == GREETING:
                 return
         except OSError:
             # One of those that filled the queue.
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -27,10 +27,10 @@
 from granitetrestle_standins.runjudge import judge
 from granitetrestle_standins.soakwitness import SoakWitness
 
-BEFORE = "a" * 16
+EARLIER_JOB = "a" * 16
 JOB = "b" * 16
 # Far longer than the work needs.
-WATCHED_S = 12.0
+JOB_TIMEOUT_S = 12.0
 EPOCH = 5
 LEASE_MS = 4000
 
@@ -42,7 +42,7 @@
 @given(
     '{nodes:d} process and {boxes:d} boxes, which take a number of known ends for "{told}"'
 )
-def boxes_that_take(context, nodes, boxes, told):
+def processes_and_boxes(context, nodes, boxes, told):
     context.cluster = NativeCluster(context.folder, nodes, boxes, ("--ends-told", told))
     context.cluster.ready()
 
@@ -53,8 +53,8 @@
     # Each box has room for 8.
     step = {"count": 8 * cluster.boxes, "cpu": 1000, "mem_mb": 100}
     steps = [step, {**step, "depends_on": [0]}, {**step, "depends_on": [1]}]
-    cluster.submit(BEFORE, steps, spec="100")
-    cluster.wait(lambda: cluster.state(BEFORE) == "completed", "the work before")
+    cluster.submit(EARLIER_JOB, steps, spec="100")
+    cluster.wait(lambda: cluster.state(EARLIER_JOB) == "completed", "the work before")
     for box in range(cluster.boxes):
         assert len(cluster.rows(box)) >= count, cluster.rows(box)
 
@@ -65,20 +65,20 @@
     time.sleep(seconds)
 
 
-@when("a job of {steps:d} steps of {tasks:d} tasks of {lasts_s:g} seconds is handed in")
-def job_handed_in(context, steps, tasks, lasts_s):
+@when("a job of {steps:d} steps of {tasks:d} tasks of {run_s:g} seconds is handed in")
+def job_submitted(context, steps, tasks, run_s):
     cluster = context.cluster
     step = {"count": tasks, "cpu": 4000, "mem_mb": 100}
     rows = [{**step, **({"depends_on": [n - 1]} if n else {})} for n in range(steps)]
-    context.handed_in = time.monotonic()
-    cluster.submit(JOB, rows, spec=str(round(lasts_s * 1000)))
+    context.submitted_at = time.monotonic()
+    cluster.submit(JOB, rows, spec=str(round(run_s * 1000)))
     # Whether it is completed is for the scenario to say.
     with contextlib.suppress(AssertionError):
-        cluster.wait(lambda: cluster.state(JOB) == "completed", JOB, WATCHED_S)
+        cluster.wait(lambda: cluster.state(JOB) == "completed", JOB, JOB_TIMEOUT_S)
 
 
 @then("no task is started again after it was done and that was noted")
-def none_again(context):
+def not_started_again(context):
     found = [
         fault.text
         for fault in judge(facts(context)).faults
@@ -94,14 +94,14 @@
         (run for run in facts(context).runs if job_of(run.task) == JOB),
         key=lambda run: run.began,
     )
-    quiet_since, longest = context.handed_in, 0.0
+    idle_since, longest = context.submitted_at, 0.0
     for run in runs:
-        longest = max(longest, run.began - quiet_since)
-        quiet_since = max(quiet_since, run.ended)
+        longest = max(longest, run.began - idle_since)
+        idle_since = max(idle_since, run.ended)
     assert state == "completed" and longest < longest_s, (state, longest, len(runs))
 
 
-class Meant:
+class BoxCaller:
     """Calls to one box as it was listed at some moment, each over the same pool of
     connections that the program has."""
 
@@ -115,37 +115,39 @@
         (item,) = json.loads(answer.content)["items"]
         return decode_entry(Record(item["key"], base64.b64decode(item["value"])))
 
-    async def poll(self, entry, known=0, until=None):
+    async def poll(self, entry, acknowledged=0, lease_ends_ms=None):
         return await self._boxes.poll(
-            entry.incarnation, entry.address, EPOCH, known, until, 0
+            entry.incarnation, entry.address, EPOCH, acknowledged, lease_ends_ms, 0
         )
 
-    async def start(self, entry, task, lasts_ms):
-        clock = (await self.poll(entry)).clock_ms
-        return await self.late_start(entry, task, lasts_ms, clock)
+    async def start(self, entry, task, run_ms):
+        clock_ms = (await self.poll(entry)).clock_ms
+        return await self.start_by_clock(entry, task, run_ms, clock_ms)
 
-    async def late_start(self, entry, task, lasts_ms, clock):
-        order = TaskCommand(entry.incarnation, entry.address, task, 1)
-        until = clock + LEASE_MS
-        return await self._boxes.start(order, EPOCH, str(lasts_ms), until, "", "")
+    async def start_by_clock(self, entry, task, run_ms, clock_ms):
+        command = TaskCommand(entry.incarnation, entry.address, task, 1)
+        lease_ends_ms = clock_ms + LEASE_MS
+        return await self._boxes.start(
+            command, EPOCH, str(run_ms), lease_ends_ms, "", ""
+        )
 
     async def stop(self, entry, task):
-        order = TaskCommand(entry.incarnation, entry.address, task, 1)
-        return await self._boxes.stop(order, EPOCH)
+        command = TaskCommand(entry.incarnation, entry.address, task, 1)
+        return await self._boxes.stop(command, EPOCH)
 
     async def pace(self, entry, task):
-        order = TaskCommand(entry.incarnation, entry.address, task, 1)
-        return await self._boxes.pace(order, EPOCH, 10)
+        command = TaskCommand(entry.incarnation, entry.address, task, 1)
+        return await self._boxes.pace(command, EPOCH, 10)
 
 
-def named(number):
+def task_id(number):
     return f"{number:016x}.0.0.0"
 
 
-async def ended(meant, entry, number):
+async def ended(caller, entry, number):
     """Wait until the box lists so many ends, and return the look."""
     while True:
-        poll = await meant.poll(entry)
+        poll = await caller.poll(entry)
         assert isinstance(poll, PollResult), poll
         if len(poll.ended) >= number:
             return poll
@@ -157,61 +159,63 @@
     context.cluster = cluster = NativeCluster(context.folder, 0, 1)
     context.script = []
 
-    async def before(meant):
-        context.before = meant.entry()
-        await meant.start(context.before, named(1), 10)
-        await ended(meant, context.before, 1)
+    async def before(caller):
+        context.before = caller.entry()
+        await caller.start(context.before, task_id(1), 10)
+        await ended(caller, context.before, 1)
         cluster.box(0, "/test/crash?s=0.05&keep=1")
         await anyio.sleep(0.2)
-        context.after = meant.entry()
+        context.after = caller.entry()
 
     context.script.append(before)
 
 
 @given("the next life runs run 1 of another task, and has ended run 1 of a third")
-def next_life(context):
-    async def next_one(meant):
-        await meant.start(context.after, named(2), 60_000)
-        started = await meant.start(context.after, named(3), 10)
+def next_incarnation(context):
+    async def start_tasks(caller):
+        await caller.start(context.after, task_id(2), 60_000)
+        started = await caller.start(context.after, task_id(3), 10)
         assert isinstance(started, CommandAccepted), started
-        context.shown = await ended(meant, context.after, 1)
+        context.first_poll = await ended(caller, context.after, 1)
 
-    context.script.append(next_one)
+    context.script.append(start_tasks)
 
 
 CALLS = {
-    "start": lambda meant, c: meant.late_start(
-        c.before, named(4), 10, c.shown.clock_ms
+    "start": lambda caller, c: caller.start_by_clock(
+        c.before, task_id(4), 10, c.first_poll.clock_ms
+    ),
+    "stop": lambda caller, c: caller.stop(c.before, task_id(2)),
+    "pace": lambda caller, c: caller.pace(c.before, task_id(2)),
+    "look": lambda caller, c: caller.poll(
+        c.before, 1, c.first_poll.clock_ms + LEASE_MS
     ),
-    "stop": lambda meant, c: meant.stop(c.before, named(2)),
-    "pace": lambda meant, c: meant.pace(c.before, named(2)),
-    "look": lambda meant, c: meant.poll(c.before, 1, c.shown.clock_ms + LEASE_MS),
 }
 
 
 @when("a {call} that was meant for the life before comes")
-def meant_for_before(context, call):
-    async def all_of_it():
-        meant = Meant(context.cluster)
+def call_earlier_incarnation(context, call):
+    async def run_script():
+        caller = BoxCaller(context.cluster)
         for part in context.script:
-            await part(meant)
-        context.outcome = await CALLS[call](meant, context)
+            await part(caller)
+        context.outcome = await CALLS[call](caller, context)
         await anyio.sleep(0.1)
-        context.shown_then = await meant.poll(context.after)
+        context.last_poll = await caller.poll(context.after)
 
-    anyio.run(all_of_it)
+    anyio.run(run_script)
 
 
 @then("it is answered as by another life, and the next one is as it was")
-def answered_as_by_another(context):
-    shown, then_ = context.shown, context.shown_then
+def answered_by_another(context):
+    first_poll, last = context.first_poll, context.last_poll
     assert isinstance(context.outcome, BoxReplaced), context.outcome
-    assert [row[:2] for row in then_.running] == [row[:2] for row in shown.running]
-    assert then_.ended == shown.ended, (then_.ended, shown.ended)
-    assert not any(row.task == named(4) for row in then_.running), then_
+    assert [row[:2] for row in last.running] == [row[:2] for row in first_poll.running]
+    assert last.ended == first_poll.ended, (last.ended, first_poll.ended)
+    assert not any(row.task == task_id(4) for row in last.running), last
 
 
-class ToldBox:
+class ScriptedBox:
     """A box that answers every call well, and says that it was born as it is told to."""
 
     def __init__(self, born):
@@ -226,8 +230,8 @@
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
                 length = int(head.lower().partition("content-length: ")[2].split()[0])
-                asked = json.loads(await reader.readexactly(length))
-                self.paths.append((head.split()[1], asked.get("last_seen")))
+                requests = json.loads(await reader.readexactly(length))
+                self.paths.append((head.split()[1], requests.get("last_seen")))
                 body = json.dumps({**self.born, "clock_ms": 100}).encode()
                 answer = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body)
                 writer.write(answer + body)
@@ -249,35 +253,37 @@
 
 
 def entry_of(born):
-    said = "" if born == "nothing" else f', "born": {born}'
-    text = f'{{"service": "pool", "address": "127.0.0.1:80"{said}}}'
+    born_field = "" if born == "nothing" else f', "born": {born}'
+    text = f'{{"service": "pool", "address": "127.0.0.1:80"{born_field}}}'
     return decode_entry(Record("b", text.encode()))
 
 
 @given("a box that was listed as born {listed}, and answers as born {answers}")
-def told_box(context, listed, answers):
+def scripted_box(context, listed, answers):
     context.incarnation = entry_of(listed).incarnation
-    context.told = ToldBox(answers)
+    context.scripted = ScriptedBox(answers)
 
 
 async def start(boxes, context):
-    order = TaskCommand(context.incarnation, context.told.address, named(1), 1)
-    return await boxes.start(order, EPOCH, "10", 4000, "", "")
+    command = TaskCommand(context.incarnation, context.scripted.address, task_id(1), 1)
+    return await boxes.start(command, EPOCH, "10", 4000, "", "")
 
 
-async def poll(boxes, context, known, until):
-    told = context.told
-    return await boxes.poll(context.incarnation, told.address, EPOCH, known, until, 0)
+async def poll(boxes, context, acknowledged, lease_ends_ms):
+    told = context.scripted
+    return await boxes.poll(
+        context.incarnation, told.address, EPOCH, acknowledged, lease_ends_ms, 0
+    )
 
 
 @when("a first look, a start and a look that confirms ends each come as first to it")
-def each_as_first(context):
+def each_on_new_connection(context):
     async def script(_):
         context.first = await poll(PlatformBoxes(Caller()), context, 0, None)
         context.started = await start(PlatformBoxes(Caller()), context)
-        context.looked = await poll(PlatformBoxes(Caller()), context, 3, 4000)
+        context.polled = await poll(PlatformBoxes(Caller()), context, 3, 4000)
 
-    context.told.play(script)
+    context.scripted.play(script)
 
 
 @then("all are {come_to}, and the start has {reached} it")
@@ -287,21 +293,21 @@
         "answered by another life": (BoxReplaced,) * 3,
         "not answered": (BoxNoAnswer,) * 3,
     }
-    outcomes = (context.first, context.started, context.looked)
+    outcomes = (context.first, context.started, context.polled)
     assert tuple(map(type, outcomes)) == kinds[come_to], outcomes
-    paths = [path for path, _ in context.told.paths]
+    paths = [path for path, _ in context.scripted.paths]
     assert ("/api/run-start" in paths) == (reached == "reached"), paths
     if isinstance(context.started, BoxNoAnswer):
         assert not context.started.sent
     if reached == "not reached":
-        assert ("/api/hold", 3) not in context.told.paths, context.told.paths
+        assert ("/api/hold", 3) not in context.scripted.paths, context.scripted.paths
 
 
 @when(
     "a first look, three starts and a look that confirms ends are sent one after the other"
 )
-def one_after_the_other(context):
-    told = context.told
+def calls_in_sequence(context):
+    told = context.scripted
 
     async def script(boxes):
         await poll(boxes, context, 0, None)
@@ -318,25 +324,25 @@
 
 
 @then("one connection was opened, on which nothing but these was asked")
-def nothing_else(context):
-    asked = [("/api/hold", 0), *[("/api/run-start", None)] * 3, ("/api/hold", 3)]
-    assert context.first == (asked, 1), context.first
+def no_other_request(context):
+    requests = [("/api/hold", 0), *[("/api/run-start", None)] * 3, ("/api/hold", 3)]
+    assert context.first == (requests, 1), context.first
 
 
 @then("after it was closed a start asks once more")
-def asks_again(context):
-    asked = [("/api/hold", 0), ("/api/run-start", None)]
-    assert context.then == (asked, 2), context.then
+def identifies_again(context):
+    requests = [("/api/hold", 0), ("/api/run-start", None)]
+    assert context.then == (requests, 2), context.then
 
 
 @when("it has taken a start, answers as born 6, and a look and a start come")
-def outlived(context):
-    told = context.told
+def restarts_while_connected(context):
+    told = context.scripted
 
     async def script(boxes):
         assert isinstance(await start(boxes, context), CommandAccepted)
         told.born = {"born": 6}
-        context.looked = await poll(boxes, context, 3, 4000)
+        context.polled = await poll(boxes, context, 3, 4000)
         context.started = await start(boxes, context)
 
     told.play(script)
@@ -345,10 +351,10 @@
 @then(
     "the look is answered by another life, and so is the start, over a new connection"
 )
-def outlived_answers(context):
-    assert isinstance(context.looked, BoxReplaced), context.looked
+def both_answered_by_another(context):
+    assert isinstance(context.polled, BoxReplaced), context.polled
     assert isinstance(context.started, BoxReplaced), context.started
-    told = context.told
+    told = context.scripted
     assert len(told.connections) == 2
     assert [path for path, _ in told.paths].count("/api/run-start") == 1, told.paths
 
@@ -361,10 +367,12 @@
         context.entry = error
 
 
-@then("the entry is {taken}")
-def entry_is(context, taken):
+@then("the entry is {expected}")
+def entry_is(context, expected):
     entry = context.entry
     if isinstance(entry, MalformedEntry):
-        assert taken == f"refused, naming {entry.key}", entry
+        assert expected == f"refused, naming {entry.key}", entry
     else:
-        assert taken == f"of the life {entry.incarnation} of box {entry.box_id}", entry
+        assert expected == f"of the life {entry.incarnation} of box {entry.box_id}", (
+            entry
+        )
