--- a/features/steps/box_standin_steps.py
+++ b/features/steps/box_standin_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over the stand-in box."""
+"""Steps for the behaviour of the stand-in box."""
 
 import asyncio
 import json
@@ -39,7 +39,10 @@
 
 
 def until_ms(box, now, seconds):
-    """Return the end of a lease from now on, on the box's own clock."""
+    """Return when a lease ends that starts at ``now``, in ms of the box's clock.
+
+    :param seconds: duration of the lease.
+    """
     return box.lists(now).clock_ms + int(seconds * 1000)
 
 
@@ -55,13 +58,13 @@
         box.end(task, "done", 101.0)
 
 
-@then("a look lists the ends {first:d} to {last:d}")
+@then("a poll lists the ends {first:d} to {last:d}")
 def poll_lists(context, first, last, acknowledged=0):
     poll = context.box.poll(acknowledged, None, EPOCH, 101.0)
     assert [row.number for row in poll.ended] == list(range(first, last + 1))
 
 
-@then("a look that confirms {acknowledged:d} lists the ends {first:d} to {last:d}")
+@then("a poll that acknowledges {acknowledged:d} lists the ends {first:d} to {last:d}")
 def acknowledging_poll_lists(context, acknowledged, first, last):
     poll_lists(context, first, last, acknowledged)
 
@@ -85,7 +88,7 @@
     context.outcome = box.start(task, run, spec, until, epoch, at)
 
 
-@then('it is refused as "{reason}"')
+@then('it is rejected as "{reason}"')
 def refused_as(context, reason):
     assert isinstance(context.outcome, CommandRejected)
     assert context.outcome.reason == reason, context.outcome
@@ -109,13 +112,13 @@
     assert context.box.history[-1].how == how
 
 
-@when("at {at:g} a look renews the lease for {lease:g} s")
+@when("at {at:g} a poll renews the lease for {lease:g} s")
 def poll_renews(context, at, lease):
     box = context.box
     box.poll(0, until_ms(box, at, lease), EPOCH, at)
 
 
-@when("at {ended:g} it ends as done, and at {noted:g} its end is noted")
+@when("at {ended:g} it ends as done, and at {noted:g} its end is acknowledged")
 def ends_and_acknowledged(context, ended, noted):
     box = context.box
     box.tick(ended)
@@ -138,7 +141,7 @@
     assert run.noted is not None and not context.box.end_counts(run), run
 
 
-@given("box b that was just born at {at:g}")
+@given("box b that has just started at {at:g}")
 def just_born(context, at):
     context.box = new_box(at)
 
@@ -160,7 +163,8 @@
     poll = context.box.poll(0, None, EPOCH, context.at)
     assert [row.task for row in poll.running] == [TASK]
     assert not poll.ended
-    # Beside what is being stopped there is room for seven of its kind, not for eight.
+    # A task that is being stopped still takes room: seven more of its size fit, not
+    # eight.
     assert rejection_reason(context.box, "1:7500:100", context.at) == "room"
     poll = context.box.poll(0, None, EPOCH, context.at + longest)
     assert not poll.running
@@ -169,13 +173,13 @@
 
 
 def rejection_reason(box, spec, now):
-    """Return why a start is refused, or ``None``."""
+    """Return why a start is rejected, or ``None`` if it is accepted."""
     until = until_ms(box, now, 4.0)
     outcome = box.start("t.0.0.9", 1, spec, until, EPOCH, now)
     return outcome.reason if isinstance(outcome, CommandRejected) else None
 
 
-@then("no run up to {run:d} of {task} is taken any more")
+@then("no run up to {run:d} of {task} is accepted any more")
 def none_taken(context, run, task):
     box, now = context.box, context.at + 1.0
     for number in range(1, run + 2):
@@ -185,7 +189,7 @@
 
 
 class ServedBox:
-    """A box that is called as over HTTP, in this process."""
+    """A box server that is called in this process, without HTTP connections."""
 
     def __init__(self, profile=PLAIN_BOX):
         self.replaced = []
@@ -198,7 +202,7 @@
         )
 
     async def call(self, path, **body):
-        """Return the status and the body of an answer, or ``None``."""
+        """Return the status and the body of an answer, or ``None`` if there is none."""
         content = json.dumps({"fencing_token": EPOCH, **body}).encode()
         reply = await self.server.answer(path, "b", content)
         return reply and (reply.status, json.loads(reply.body))
@@ -213,7 +217,7 @@
         return [run for incarnation in facts for run in incarnation["runs"]]
 
     def play(self, script):
-        """Run a script beside the box's own loop."""
+        """Run a script concurrently with the box's loop."""
 
         async def both():
             loop = asyncio.create_task(self.server.run())
@@ -225,13 +229,13 @@
         asyncio.run(both())
 
 
-@given("a served box that checks looks that wait {when}")
+@given("a served box that checks the epoch of long polls {when}")
 def served(context, when):
-    again = when == "all the while"
+    again = when == "throughout"
     context.served = ServedBox(PLAIN_BOX._replace(looks_again=again))
 
 
-@when("a newer epoch looks while a look of an older one waits")
+@when("a newer epoch polls while a long poll of an older one waits")
 def newer_epoch_polls(context):
     served = context.served
 
@@ -272,7 +276,7 @@
         boxserver.LATE_S = usual
 
 
-@then("it gets no answer, and is carried out later, marked as held up")
+@then("it gets no answer, and is carried out later, marked as delayed")
 def carried_out_later(context):
     assert context.answer is None
     assert context.newer[1]["running"] == []
@@ -305,7 +309,7 @@
     served.play(script)
 
 
-@then("calls get no answer, then another life answers 421 and lists nothing")
+@then("calls get no answer, then another incarnation answers 421 and lists nothing")
 def next_incarnation_answers(context):
     assert context.down is None
     assert context.other[0] == 421
@@ -313,7 +317,7 @@
     assert context.served.replaced == [("b", "b-1")]
 
 
-@when("it crashes for a moment, and starts again under its id")
+@when("it crashes for a moment, and restarts under its id")
 def crashes_and_keeps(context):
     served = context.served
 
@@ -329,29 +333,33 @@
     served.play(script)
 
 
-@then("calls under that id reach the new life, which knows nothing of the one before")
+@then(
+    "calls under that id reach the new incarnation, which has no state of the earlier "
+    "one"
+)
 def restarted_box_answers(context):
     status, lists = context.again
     assert status == 200, context.again
     assert lists["running"] == lists["finished"] == [], lists
-    # An epoch below the one that its predecessor had seen is taken.
+    # It accepts an epoch below the one that the earlier incarnation had seen.
     assert lists["born"] > context.first["born"], (lists, context.first)
 
 
-@then("it is in the list only after a while, under its id")
+@then("it is listed only after a while, under its id")
 def listed_later(context):
     assert context.listed_early == [], context.listed_early
     assert context.served.replaced == [("", "b")], context.served.replaced
 
 
-@given('box b that takes a number of known ends for "{what}"')
+@given('box b that applies an acknowledged number to "{what}"')
 def box_with_ends_rule(context, what):
     profile = PROFILE._replace(ends_told=EndsTold(what))
     context.box = BoxModel("b", profile=profile, draw=random.Random(1), born=100.0)
 
 
 @when(
-    "it has ended {count:d} runs, is told that {acknowledged:d} are known, and ends 1 more"
+    "it has ended {count:d} runs, is polled with {acknowledged:d} acknowledged, and "
+    "ends 1 more"
 )
 def acknowledged_beyond(context, count, acknowledged):
     for number in range(count + 1):
@@ -362,14 +370,14 @@
         context.box.end(f"t.0.0.{number}", "done", 101.0)
 
 
-@then("its next look lists the ends {listed}")
+@then("its next poll lists the ends {listed}")
 def next_poll_lists(context, listed):
     poll = context.box.poll(0, None, EPOCH, 101.0)
     numbers = [str(row.number) for row in poll.ended]
     assert ", ".join(numbers) == listed.replace("none", ""), numbers
 
 
-@then("the facts tell of the run that crashed")
+@then("the facts contain the run that crashed")
 def facts_list_crashed_run(context):
     ((*_, ended, how, noted),) = context.served.runs()
     assert how == "crashed"
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over records and requests by somebody else."""
+"""Steps for invalid records by other writers, and for invalid requests."""
 
 import asyncio
 import base64
@@ -53,18 +53,18 @@
 
 
 INVALID_ENTRIES = {
-    "of bytes that are no text": b"\xff\xfe\x00\x80",
-    "that is cut short": entry()[:20],
-    "that is no table": b"[1, 2]",
+    "that is not UTF-8": b"\xff\xfe\x00\x80",
+    "that is truncated": entry()[:20],
+    "that is not a JSON object": b"[1, 2]",
     "without an address": entry(address=None),
-    "with an address that is none": entry(address="x"),
-    "with a port that is none": entry(address="10.0.0.1:999999"),
-    "with a name for an address": entry(address="box.example:80"),
-    "in a state that nobody knows": entry(state="resting"),
-    "with room below nothing": entry(capacity={"cpu": -1}),
-    "with room beyond all bounds": entry(capacity={"cpu": 10**30}),
-    "with labels that are no text": entry(labels=[1, None]),
-    "of a service that nobody knows": entry(service="elsewhere"),
+    "with a malformed address": entry(address="x"),
+    "with a port out of range": entry(address="10.0.0.1:999999"),
+    "with a host name as address": entry(address="box.example:80"),
+    "in an unknown state": entry(state="resting"),
+    "with negative capacity": entry(capacity={"cpu": -1}),
+    "with capacity above the limit": entry(capacity={"cpu": 10**30}),
+    "with labels that are not strings": entry(labels=[1, None]),
+    "of an unknown service": entry(service="elsewhere"),
 }
 
 
@@ -77,7 +77,7 @@
 
 
 class ListedBoxes:
-    """The list of boxes as a decider takes it up."""
+    """A leader's list of boxes, fed with records."""
 
     def __init__(self):
         self.scheduler = Scheduler(SchedulerParameters(), time.monotonic())
@@ -101,7 +101,7 @@
         return sorted(incarnation for incarnation, box in boxes.items() if box.listed)
 
 
-@when("the list of boxes holds a sound entry and one {what}")
+@when("the list of boxes holds a valid entry and one {what}")
 def invalid_entry_listed(context, what):
     context.listed = listed = ListedBoxes()
     invalid = Record("foreign", INVALID_ENTRIES[what])
@@ -111,8 +111,8 @@
 
 
 @when(
-    "the list of boxes holds two sound entries, and one is overwritten with bytes that "
-    "are no text"
+    "the list of boxes holds two valid entries, and one is overwritten with bytes that "
+    "are not UTF-8"
 )
 def entry_overwritten(context):
     context.listed = listed = ListedBoxes()
@@ -124,7 +124,7 @@
         listed.update(Record("foreign", b"\xff\xfe"))
 
 
-@then("only the sound one is used, and the other is said once, with its key")
+@then("only the valid one is used, and the other is logged once, with its key")
 def only_valid_used(context):
     listed = context.listed
     assert listed.usable() == ["sound"], listed.usable()
@@ -134,14 +134,14 @@
     assert [fields["box"] for fields in reported] == ["foreign"], listed.log.events
 
 
-@then("once it can be read again it is used again")
+@then("once it is valid again it is used again")
 def used_again(context):
     listed = context.listed
     listed.update(Record("foreign", entry(address="127.0.0.2:80")))
     assert listed.usable() == ["foreign", "sound"]
 
 
-@when("the entries of processes hold a sound one, and others by another writer")
+@when("the entries of processes hold a valid one, and invalid ones by another writer")
 def process_entries(context):
     store = MemoryStore(StoreModel())
     registry = Registry(store)
@@ -158,7 +158,7 @@
     context.registered = asyncio.run(fill())
 
 
-@then("the sound one is known, and the others are named")
+@then("the valid one is read, and the keys of the others are reported")
 def valid_process_read(context):
     registered = context.registered
     assert sorted(registered.nodes) == ["n1"], registered
@@ -182,14 +182,14 @@
         return Reply(200, (), self._body)
 
 
-@when("the store answers with a record whose key is no text, before a sound one")
+@when("the store answers with a record whose key is not UTF-8, before a valid one")
 def key_not_utf8(context):
     body = bytes(16) + record(b"\xff\xfe", b"1") + record(b"sound", b"2")
     store = PlatformStore("127.0.0.1:1", OneReply(body))
     context.read = asyncio.run(store.read("keyed.servers", 5, 0.0))
 
 
-@then("the sound one is read")
+@then("the valid one is read")
 def valid_record_read(context):
     assert isinstance(context.read, Records), context.read
     assert context.read.end == 7
@@ -233,7 +233,10 @@
 
 
 def is_accepted(body):
-    """Take up a job, or refuse it; go on as a successor does with what is written."""
+    """Submit a job, and restore a successor from the records that are written.
+
+    :returns: ``False`` if the job is rejected as malformed.
+    """
     try:
         call = decode_call(QueueIndex(CONFIG), "POST", "host", f"/q/{'a' * 16}", body)
     except InvalidInput:
@@ -259,11 +262,11 @@
 
 
 @then(
-    "of {count:d} random jobs each is refused as malformed, or a successor goes on "
+    "of {count:d} random jobs each is rejected as malformed, or a successor continues "
     "with it"
 )
 def random_jobs(context, count):
-    taken = []
+    accepted = []
 
     @settings(
         max_examples=count,
@@ -274,14 +277,14 @@
     )
     @drawn(JOB)
     def submit_job(job):
-        taken.append(is_accepted(json.dumps(job).encode()))
+        accepted.append(is_accepted(json.dumps(job).encode()))
 
     submit_job()
-    assert 20 < sum(taken) < len(taken) - 20, (sum(taken), len(taken))
+    assert 20 < sum(accepted) < len(accepted) - 20, (sum(accepted), len(accepted))
 
 
 @when(
-    "another writer fills the list of boxes, and a client hands in numbers without end"
+    "another writer fills the list of boxes, and a client submits numbers above 64 bits"
 )
 def invalid_input_everywhere(context):
     cluster = context.cluster
@@ -298,16 +301,16 @@
     time.sleep(1.5)
 
 
-@then("the same decider goes on, and a job completes")
+@then("the leader is still the same, and a job completes")
 def leader_stays(context):
     cluster = context.cluster
     job = "00000000000000f1"
     cluster.submit(job, [{"count": 2, "cpu": 1000, "mem_mb": 100}])
     cluster.wait(lambda: cluster.state(job) == "completed", job)
-    taken = [
+    takeovers = [
         line
         for name in cluster.nodes()
         for line in cluster.log(name)
         if line["event"] == "took_over"
     ]
-    assert len(taken) == 1 and cluster.leader() == context.leader, taken
+    assert len(takeovers) == 1 and cluster.leader() == context.leader, takeovers
--- a/features/steps/hung_link_steps.py
+++ b/features/steps/hung_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenario over a connection between processes that hung while it opened."""
+"""Steps for a connection between processes that hangs while it opens."""
 
 import socket
 import time
@@ -9,9 +9,10 @@
 
 from granitetrestle.peerlink import PeerLink
 
-# More than a listener without a queue takes before it drops what opens a connection.
+# A listener with backlog 0 queues fewer connections than this, and drops the packets
+# that open further ones.
 QUEUED_CONNECTIONS = 4
-# What ZMTP, the protocol between processes, begins with.
+# First byte of ZMTP, the protocol between processes.
 GREETING = b"\xff"
 
 
@@ -56,6 +57,6 @@
             if accepted.recv(1) == GREETING:
                 return
         except OSError:
-            # One of those that filled the queue.
+            # One of the connections that filled the queue.
             continue
     raise AssertionError(f"no connection within {seconds} s")
--- a/src/granitetrestle/calls.py
+++ b/src/granitetrestle/calls.py
@@ -1,6 +1,6 @@
 """HTTP client with a connection pool, for calls to endpoints, peers, boxes and the
-platform. It handles connections directly, so that it knows for each call whether any byte
-was sent, and a failure can prove that the request has not run."""
+platform. It handles connections directly, so that it knows for each call whether any
+byte was sent, and a failure can prove that the request has not run."""
 
 import abc
 import ipaddress
@@ -168,9 +168,9 @@
     ) -> Reply | CallFailure:
         """Send one request to a party, and to no other process at its address.
 
-        :param no_side_effects: whether the request has no effect on another process that
-            it reaches; if its answer identifies the sender too, no identity request goes
-            before it.
+        :param no_side_effects: whether the request has no effect on another process
+            that it reaches; if its answer identifies the sender too, no identity request
+            goes before it.
         :param answer_identifies: whether the answer identifies its sender.
         :returns: as :meth:`call`; the failure has the other process's answer, if any.
         """
@@ -203,8 +203,8 @@
                 outcome = await exchange.run(connection, verified)
                 done = isinstance(outcome, Reply)
                 return outcome
-            # After a network fault all open connections may be dead without a reset, while
-            # new ones work. Closing them all saves a timeout for each.
+            # All open connections may be dead, without a reset, while new ones work.
+            # Closing them all saves a timeout for each.
             self._close_idle(exchange.key)
             return CallFailure(Proof(sent, "no answer in time"), timed_out=True)
         finally:
--- a/src/granitetrestle/platform/boxes.py
+++ b/src/granitetrestle/platform/boxes.py
@@ -1,4 +1,4 @@
-"""Calls to boxes over HTTP, and decoding of the entries that boxes write to the store."""
+"""Calls to boxes over HTTP, and decoding of the boxes' entries in the store."""
 
 import typing as t
 
@@ -64,7 +64,7 @@
 
 
 class _Entry(msgspec.Struct):
-    """A box's entry. ``cpu`` is in thousandths of a core; the second label is the rack."""
+    """A box's entry; ``cpu`` is in thousandths of a core, the second label is the rack."""
 
     service: str
     address: str
@@ -135,9 +135,9 @@
 
 
 class _Incarnation(Party):
-    """One incarnation of a box, called with a leader's fencing token. A box that restarts
-    keeps its id, so a call needs a connection over which the box has reported when it was
-    born.
+    """One incarnation of a box, called with a leader's fencing token. A box that
+    restarts may keep its id, so a call needs a connection over which the box has
+    reported when it was born.
 
     :param token: epoch of the leader that calls.
     """
--- a/src/granitetrestle/platform/front.py
+++ b/src/granitetrestle/platform/front.py
@@ -1,5 +1,5 @@
-"""Decoding of what clients and operators send: job calls over HTTP, and the configuration
-and directives in the store."""
+"""Decoding of what clients and operators send: job calls over HTTP, and the
+configuration and directives in the store."""
 
 import re
 import typing as t
@@ -44,9 +44,9 @@
 MAX_SPEC_BYTES: t.Final = 4000
 MAX_STEPS: t.Final = 100
 MAX_TASKS: t.Final = 5000
-# JSON numbers above this lose precision in many clients. Integers above 64 bits can't be
-# serialized: such a job crashes the leader that accepts it, and then its successor when
-# the client submits the job again.
+# JSON numbers above this lose precision in clients. Integers above 64 bits can't be
+# serialized: such a job crashes the leader that accepts it, and then its successor
+# when the client submits the job again.
 MAX_NUMBER: t.Final = 2**53
 OK: t.Final = 200
 GONE: t.Final = 410
@@ -108,7 +108,8 @@
 
 
 class _HallDirective(msgspec.Struct):
-    """Record of an evacuated data hall, which gets no more tasks; it has no fields yet."""
+    """Record of an evacuated data hall, which gets no more tasks. Its fields are not
+    used yet."""
 
 
 class _Step(msgspec.Struct):
@@ -203,7 +204,7 @@
 
 
 class QueueIndex:
-    """Finds the queue of a request by host and path prefix, without a scan of all queues."""
+    """Finds the queue of a request by host and path, without a scan of all queues."""
 
     def __init__(self, config: Config) -> None:
         self._by_host: dict[str, list[Queue]] = {}
--- a/src/granitetrestle/platform/process.py
+++ b/src/granitetrestle/platform/process.py
@@ -1,4 +1,4 @@
-"""Process of the platform: settings, listening sockets, signals and graceful shutdown."""
+"""Process of the platform: settings, listening sockets, signals, graceful shutdown."""
 
 import signal
 import socket
@@ -102,7 +102,7 @@
 
 
 def _listen(address: Address) -> socket.socket:
-    # asyncio sets TCP_NODELAY only on sockets that were created with an explicit protocol.
+    # asyncio sets TCP_NODELAY only on sockets created with an explicit protocol.
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((address.ip, address.port))
@@ -152,8 +152,8 @@
         log.event("stopping", grace_s=settings.grace_s)
         max_wait_s = settings.grace_s - CLOSING_RESERVE_S
         await node.stop(max_wait_s)
-        # Requests still arrive over open connections until the platform's readiness check
-        # has failed.
+        # Requests still arrive over open connections until the platform's readiness
+        # checks have failed.
         while (
             time.monotonic() - stopping_since < min(UNREADY_NOTICE_S, max_wait_s)
             or not node.idle
--- a/tools/build_deploy.py
+++ b/tools/build_deploy.py
@@ -13,8 +13,8 @@
 DEPS = ROOT / "target" / "deps"
 LIBRARIES_STAMP = ROOT / "target" / "deps.stamp"
 SOURCE_STAMP = ROOT / "target" / "source.stamp"
-# Libraries that a process on the platform imports. The package's other dependencies would
-# only cost memory and time at each start.
+# Libraries that a process on the platform imports. The package's other dependencies
+# would only cost memory and time at each start.
 LIBRARIES = (
     "anyio",
     "httptools",
