--- a/features/foreign_records.feature
+++ b/features/foreign_records.feature
@@ -11,7 +11,7 @@
 
     Examples:
       | what                                   |
-      | that is not UTF-8                      |
+      | that is not Unicode text               |
       | that is truncated                      |
       | that is not a JSON object              |
       | without an address                     |
@@ -25,7 +25,7 @@
       | of an unknown service                  |
 
   Scenario: An entry that became invalid is no longer used in its earlier form
-    When the list of boxes holds two valid entries, and one is overwritten with bytes that are not UTF-8
+    When the list of boxes holds two valid entries, and one is overwritten with bytes that are not Unicode text
     Then only the valid one is used, and the other is logged once, with its key
     And once it is valid again it is used again
 
@@ -33,8 +33,8 @@
     When the entries of processes hold a valid one, and invalid ones by another writer
     Then the valid one is read, and the keys of the others are reported
 
-  Scenario: A record whose key is not UTF-8 does not make the next ones unreadable
-    When the store answers with a record whose key is not UTF-8, before a valid one
+  Scenario: A record whose key is not Unicode text does not make the next ones unreadable
+    When the store answers with a record whose key is not Unicode text, before a valid one
     Then the valid one is read
 
   Scenario: A job is rejected, or can be written to the store and read again
@@ -42,5 +42,5 @@
 
   Scenario: Real processes keep running with invalid entries and jobs
     Given 2 nodes on the platform with 2 boxes
-    When another writer fills the list of boxes, and a client submits numbers above 64 bits
+    When another writer fills the list of boxes, and a client submits numbers that are too large
     Then the leader is still the same, and a job completes
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -53,7 +53,7 @@
 
 
 INVALID_ENTRIES = {
-    "that is not UTF-8": b"\xff\xfe\x00\x80",
+    "that is not Unicode text": b"\xff\xfe\x00\x80",
     "that is truncated": entry()[:20],
     "that is not a JSON object": b"[1, 2]",
     "without an address": entry(address=None),
@@ -112,7 +112,7 @@
 
 @when(
     "the list of boxes holds two valid entries, and one is overwritten with bytes that "
-    "are not UTF-8"
+    "are not Unicode text"
 )
 def entry_overwritten(context):
     context.listed = listed = ListedBoxes()
@@ -182,7 +182,9 @@
         return Reply(200, (), self._body)
 
 
-@when("the store answers with a record whose key is not UTF-8, before a valid one")
+@when(
+    "the store answers with a record whose key is not Unicode text, before a valid one"
+)
 def key_not_utf8(context):
     body = bytes(16) + record(b"\xff\xfe", b"1") + record(b"sound", b"2")
     store = PlatformStore("127.0.0.1:1", OneReply(body))
@@ -284,7 +286,8 @@
 
 
 @when(
-    "another writer fills the list of boxes, and a client submits numbers above 64 bits"
+    "another writer fills the list of boxes, and a client submits numbers that are too "
+    "large"
 )
 def invalid_input_everywhere(context):
     cluster = context.cluster
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over boxes that start again under their id."""
+"""Steps for boxes that restart under their id."""
 
 import asyncio
 import base64
@@ -29,7 +29,7 @@
 
 EARLIER_JOB = "a" * 16
 JOB = "b" * 16
-# Far longer than the work needs.
+# Far longer than the job needs.
 JOB_TIMEOUT_S = 12.0
 EPOCH = 5
 LEASE_MS = 4000
@@ -40,10 +40,11 @@
 
 
 @given(
-    '{nodes:d} process and {boxes:d} boxes, which take a number of known ends for "{told}"'
+    "{nodes:d} process and {boxes:d} boxes, which apply an acknowledged number to "
+    '"{ends}"'
 )
-def processes_and_boxes(context, nodes, boxes, told):
-    context.cluster = NativeCluster(context.folder, nodes, boxes, ("--ends-told", told))
+def processes_and_boxes(context, nodes, boxes, ends):
+    context.cluster = NativeCluster(context.folder, nodes, boxes, ("--ends-told", ends))
     context.cluster.ready()
 
 
@@ -54,30 +55,30 @@
     step = {"count": 8 * cluster.boxes, "cpu": 1000, "mem_mb": 100}
     steps = [step, {**step, "depends_on": [0]}, {**step, "depends_on": [1]}]
     cluster.submit(EARLIER_JOB, steps, spec="100")
-    cluster.wait(lambda: cluster.state(EARLIER_JOB) == "completed", "the work before")
+    cluster.wait(lambda: cluster.state(EARLIER_JOB) == "completed", "the earlier job")
     for box in range(cluster.boxes):
         assert len(cluster.rows(box)) >= count, cluster.rows(box)
 
 
-@when("box {box:d} starts again under its id within {seconds:g} seconds")
+@when("box {box:d} restarts under its id within {seconds:g} seconds")
 def starts_again(context, box, seconds):
     context.cluster.box(box, f"/test/crash?s={seconds}&keep=1")
     time.sleep(seconds)
 
 
-@when("a job of {steps:d} steps of {tasks:d} tasks of {run_s:g} seconds is handed in")
+@when("a job of {steps:d} steps of {tasks:d} tasks of {run_s:g} seconds is submitted")
 def job_submitted(context, steps, tasks, run_s):
     cluster = context.cluster
     step = {"count": tasks, "cpu": 4000, "mem_mb": 100}
     rows = [{**step, **({"depends_on": [n - 1]} if n else {})} for n in range(steps)]
     context.submitted_at = time.monotonic()
     cluster.submit(JOB, rows, spec=str(round(run_s * 1000)))
-    # Whether it is completed is for the scenario to say.
+    # The scenario checks whether the job completes.
     with contextlib.suppress(AssertionError):
         cluster.wait(lambda: cluster.state(JOB) == "completed", JOB, JOB_TIMEOUT_S)
 
 
-@then("no task is started again after it was done and that was noted")
+@then("no task is started again after its end as done was acknowledged")
 def not_started_again(context):
     found = [
         fault.text
@@ -87,7 +88,7 @@
     assert not found, (len(found), found[0])
 
 
-@then("it is completed, and never had nothing running for {longest_s:g} seconds")
+@then("it completes, and never waits with no task running for {longest_s:g} seconds")
 def never_idle(context, longest_s):
     state = context.cluster.state(JOB)
     runs = sorted(
@@ -102,15 +103,14 @@
 
 
 class BoxCaller:
-    """Calls to one box as it was listed at some moment, each over the same pool of
-    connections that the program has."""
+    """Calls one box, as listed at some time, over a pool like the daemon's."""
 
     def __init__(self, cluster):
         self._cluster = cluster
         self._boxes = PlatformBoxes(Caller())
 
     def entry(self):
-        """Return the box as it is listed."""
+        """Return the box's current entry in the list."""
         answer = self._cluster.store("newest?topic=keyed.servers&part=0")
         (item,) = json.loads(answer.content)["items"]
         return decode_entry(Record(item["key"], base64.b64decode(item["value"])))
@@ -144,8 +144,8 @@
     return f"{number:016x}.0.0.0"
 
 
-async def ended(caller, entry, number):
-    """Wait until the box lists so many ends, and return the look."""
+async def poll_until_ended(caller, entry, number):
+    """Return the first poll that lists at least ``number`` ends."""
     while True:
         poll = await caller.poll(entry)
         assert isinstance(poll, PollResult), poll
@@ -154,7 +154,7 @@
         await anyio.sleep(0.05)
 
 
-@given("a box alone that has ended run 1 of a task, and started again under its id")
+@given("a single box that has ended run 1 of a task, and restarted under its id")
 def box_alone(context):
     context.cluster = cluster = NativeCluster(context.folder, 0, 1)
     context.script = []
@@ -162,7 +162,7 @@
     async def before(caller):
         context.before = caller.entry()
         await caller.start(context.before, task_id(1), 10)
-        await ended(caller, context.before, 1)
+        await poll_until_ended(caller, context.before, 1)
         cluster.box(0, "/test/crash?s=0.05&keep=1")
         await anyio.sleep(0.2)
         context.after = caller.entry()
@@ -170,13 +170,15 @@
     context.script.append(before)
 
 
-@given("the next life runs run 1 of another task, and has ended run 1 of a third")
+@given(
+    "its next incarnation runs run 1 of another task, and has ended run 1 of a third"
+)
 def next_incarnation(context):
     async def start_tasks(caller):
         await caller.start(context.after, task_id(2), 60_000)
         started = await caller.start(context.after, task_id(3), 10)
         assert isinstance(started, CommandAccepted), started
-        context.first_poll = await ended(caller, context.after, 1)
+        context.first_poll = await poll_until_ended(caller, context.after, 1)
 
     context.script.append(start_tasks)
 
@@ -187,13 +189,13 @@
     ),
     "stop": lambda caller, c: caller.stop(c.before, task_id(2)),
     "pace": lambda caller, c: caller.pace(c.before, task_id(2)),
-    "look": lambda caller, c: caller.poll(
+    "poll": lambda caller, c: caller.poll(
         c.before, 1, c.first_poll.clock_ms + LEASE_MS
     ),
 }
 
 
-@when("a {call} that was meant for the life before comes")
+@when("a {call} for the earlier incarnation arrives")
 def call_earlier_incarnation(context, call):
     async def run_script():
         caller = BoxCaller(context.cluster)
@@ -206,7 +208,7 @@
     anyio.run(run_script)
 
 
-@then("it is answered as by another life, and the next one is as it was")
+@then("it is answered as by another incarnation, and the next one is unchanged")
 def answered_by_another(context):
     first_poll, last = context.first_poll, context.last_poll
     assert isinstance(context.outcome, BoxReplaced), context.outcome
@@ -216,7 +218,7 @@
 
 
 class ScriptedBox:
-    """A box that answers every call well, and says that it was born as it is told to."""
+    """A box that answers every call with success, and reports a given time of birth."""
 
     def __init__(self, born):
         self.born = {} if born == "nothing" else {"born": json.loads(born)}
@@ -230,14 +232,14 @@
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
                 length = int(head.lower().partition("content-length: ")[2].split()[0])
-                requests = json.loads(await reader.readexactly(length))
-                self.paths.append((head.split()[1], requests.get("last_seen")))
+                request = json.loads(await reader.readexactly(length))
+                self.paths.append((head.split()[1], request.get("last_seen")))
                 body = json.dumps({**self.born, "clock_ms": 100}).encode()
                 answer = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body)
                 writer.write(answer + body)
 
     def play(self, script):
-        """Run a script with the box at an address of its own."""
+        """Run a script while the box listens on a free port."""
 
         async def both():
             server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -270,13 +272,16 @@
 
 
 async def poll(boxes, context, acknowledged, lease_ends_ms):
-    told = context.scripted
+    scripted = context.scripted
     return await boxes.poll(
-        context.incarnation, told.address, EPOCH, acknowledged, lease_ends_ms, 0
+        context.incarnation, scripted.address, EPOCH, acknowledged, lease_ends_ms, 0
     )
 
 
-@when("a first look, a start and a look that confirms ends each come as first to it")
+@when(
+    "a first poll, a start and a poll that acknowledges ends each open a connection to "
+    "it"
+)
 def each_on_new_connection(context):
     async def script(_):
         context.first = await poll(PlatformBoxes(Caller()), context, 0, None)
@@ -286,15 +291,15 @@
     context.scripted.play(script)
 
 
-@then("all are {come_to}, and the start has {reached} it")
-def come_to(context, come_to, reached):
-    kinds = {
+@then("all are {outcome}, and the start has {reached} it")
+def calls_outcome(context, outcome, reached):
+    expected = {
         "carried out": (PollResult, CommandAccepted, PollResult),
-        "answered by another life": (BoxReplaced,) * 3,
+        "answered by another incarnation": (BoxReplaced,) * 3,
         "not answered": (BoxNoAnswer,) * 3,
     }
     outcomes = (context.first, context.started, context.polled)
-    assert tuple(map(type, outcomes)) == kinds[come_to], outcomes
+    assert tuple(map(type, outcomes)) == expected[outcome], outcomes
     paths = [path for path, _ in context.scripted.paths]
     assert ("/api/run-start" in paths) == (reached == "reached"), paths
     if isinstance(context.started, BoxNoAnswer):
@@ -304,62 +309,68 @@
 
 
 @when(
-    "a first look, three starts and a look that confirms ends are sent one after the other"
+    "a first poll, three starts and a poll that acknowledges ends are sent in sequence"
 )
 def calls_in_sequence(context):
-    told = context.scripted
+    scripted = context.scripted
 
     async def script(boxes):
         await poll(boxes, context, 0, None)
         for _ in range(3):
             await start(boxes, context)
         await poll(boxes, context, 3, 4000)
-        context.first = list(told.paths), len(told.connections)
-        told.connections[0].close()
+        context.first = list(scripted.paths), len(scripted.connections)
+        scripted.connections[0].close()
         await asyncio.sleep(0.05)
         await start(boxes, context)
-        context.then = told.paths[len(context.first[0]) :], len(told.connections)
+        context.then = (
+            scripted.paths[len(context.first[0]) :],
+            len(scripted.connections),
+        )
 
-    told.play(script)
+    scripted.play(script)
 
 
-@then("one connection was opened, on which nothing but these was asked")
+@then("one connection was opened, and only these requests were sent over it")
 def no_other_request(context):
     requests = [("/api/hold", 0), *[("/api/run-start", None)] * 3, ("/api/hold", 3)]
     assert context.first == (requests, 1), context.first
 
 
-@then("after it was closed a start asks once more")
+@then("after it was closed a start is preceded by another identity request")
 def identifies_again(context):
     requests = [("/api/hold", 0), ("/api/run-start", None)]
     assert context.then == (requests, 2), context.then
 
 
-@when("it has taken a start, answers as born 6, and a look and a start come")
+@when("it has accepted a start, then answers as born 6, and a poll and a start arrive")
 def restarts_while_connected(context):
-    told = context.scripted
+    scripted = context.scripted
 
     async def script(boxes):
         assert isinstance(await start(boxes, context), CommandAccepted)
-        told.born = {"born": 6}
+        scripted.born = {"born": 6}
         context.polled = await poll(boxes, context, 3, 4000)
         context.started = await start(boxes, context)
 
-    told.play(script)
+    scripted.play(script)
 
 
 @then(
-    "the look is answered by another life, and so is the start, over a new connection"
+    "the poll is answered by another incarnation, and so is the start, over a new "
+    "connection"
 )
 def both_answered_by_another(context):
     assert isinstance(context.polled, BoxReplaced), context.polled
     assert isinstance(context.started, BoxReplaced), context.started
-    told = context.scripted
-    assert len(told.connections) == 2
-    assert [path for path, _ in told.paths].count("/api/run-start") == 1, told.paths
+    scripted = context.scripted
+    assert len(scripted.connections) == 2
+    assert [path for path, _ in scripted.paths].count("/api/run-start") == 1, (
+        scripted.paths
+    )
 
 
-@when("a box's entry says that it was born {born}")
+@when("a box's entry has born {born}")
 def entry_says(context, born):
     try:
         context.entry = entry_of(born)
@@ -371,8 +382,8 @@
 def entry_is(context, expected):
     entry = context.entry
     if isinstance(entry, MalformedEntry):
-        assert expected == f"refused, naming {entry.key}", entry
+        assert expected == f"rejected, naming {entry.key}", entry
     else:
-        assert expected == f"of the life {entry.incarnation} of box {entry.box_id}", (
-            entry
-        )
+        assert (
+            expected == f"of the incarnation {entry.incarnation} of box {entry.box_id}"
+        ), entry
--- a/src/granitetrestle/calls.py
+++ b/src/granitetrestle/calls.py
@@ -169,8 +169,8 @@
         """Send one request to a party, and to no other process at its address.
 
         :param no_side_effects: whether the request has no effect on another process
-            that it reaches; if its answer identifies the sender too, no identity request
-            goes before it.
+            that it reaches; if its answer identifies the sender too, no identity
+            request goes before it.
         :param answer_identifies: whether the answer identifies its sender.
         :returns: as :meth:`call`; the failure has the other process's answer, if any.
         """
--- a/src/granitetrestle/platform/boxes.py
+++ b/src/granitetrestle/platform/boxes.py
@@ -64,7 +64,8 @@
 
 
 class _Entry(msgspec.Struct):
-    """A box's entry; ``cpu`` is in thousandths of a core, the second label is the rack."""
+    """A box's entry. ``cpu`` is in thousandths of a core; the second label is the
+    rack."""
 
     service: str
     address: str
