--- a/src/granitetrestle/books.py
+++ b/src/granitetrestle/ownedshard.py
@@ -17,11 +17,11 @@
 from .waiting import WaitingTask
 from .waiting import WaitingTasks
 
-__all__ = ["ShardBook"]
+__all__ = ["OwnedShard"]
 
 
 @dataclasses.dataclass(slots=True)
-class ShardBook:
+class OwnedShard:
     """State of an owned shard under one epoch.
 
     :param old_starts_expired_wall: wall time (s) after which no start of an older
@@ -117,7 +117,7 @@
         for assignment in tasks:
             self.index.adopt(fresh, assignment)
 
-    def book(self, box: BoxState, assignment: Assignment, adopted: bool) -> None:
+    def assign(self, box: BoxState, assignment: Assignment, adopted: bool) -> None:
         """Assign an attempt to ``box``.
 
         :param adopted: it runs already, so it counts even beyond the capacity.
@@ -132,7 +132,7 @@
         self.uncertain.discard(assignment.task)
         self.waiting.discard(assignment.task)
 
-    def unbook(self, task: str) -> Assignment | None:
+    def unassign(self, task: str) -> Assignment | None:
         """Release the assignment of a task; ``None`` if it has none."""
         name = self.box_of_task.pop(task, None)
         if name is None:
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -5,7 +5,6 @@
 
 import typing as t
 
-from .books import ShardBook
 from .boxhealth import update_quarantine
 from .capacity import Assignment
 from .capacity import BoxState
@@ -22,6 +21,7 @@
 from .jobs import Job
 from .jobs import Jobs
 from .jobs import Task
+from .ownedshard import OwnedShard
 from .ownership import Ownership
 from .ownership import ShardState
 from .placementparameters import PlacementParameters
@@ -58,13 +58,13 @@
         self._parameters = parameters
         self._jobs = jobs
         self._ownership = ownership
-        self._books: dict[int, ShardBook] = {}
+        self._books: dict[int, OwnedShard] = {}
         self._listed: dict[str, BoxInfo] | None = None
         self._drained: set[str] = set()
         self._evacuated = False
 
     @property
-    def books(self) -> t.Mapping[int, ShardBook]:
+    def books(self) -> t.Mapping[int, OwnedShard]:
         """Owned shard -> its state."""
         return self._books
 
@@ -109,7 +109,7 @@
             + self._parameters.lease_s
             + self._parameters.clock_margin_s
         )
-        book = ShardBook(shard, state.epoch, starts_expired_wall, leases_expired_wall)
+        book = OwnedShard(shard, state.epoch, starts_expired_wall, leases_expired_wall)
         book.evacuated = self._evacuated
         self._books[shard] = book
         self._apply_box_list(book)
@@ -133,7 +133,7 @@
         for book in self._books.values():
             self._apply_box_list(book)
 
-    def _apply_box_list(self, book: ShardBook) -> None:
+    def _apply_box_list(self, book: OwnedShard) -> None:
         if self._listed is None:
             return
         for info in self._listed.values():
@@ -187,7 +187,7 @@
             return []
         return self._cancel_tasks(book, job)
 
-    def _cancel_tasks(self, book: ShardBook, job: Job) -> list[Effect]:
+    def _cancel_tasks(self, book: OwnedShard, job: Job) -> list[Effect]:
         facts: list[AttemptEnded] = []
         for task in job.tasks.values():
             if book.waiting.discard(task.task):
@@ -201,7 +201,7 @@
             return []
         return [AppendFacts(self._stream, tuple(facts), f"cancel/{job.job}")]
 
-    def _assignment(self, book: ShardBook, task: str) -> Assignment | None:
+    def _assignment(self, book: OwnedShard, task: str) -> Assignment | None:
         name = book.box_of_task.get(task)
         return book.index.boxes[name].tasks[task] if name is not None else None
 
@@ -213,7 +213,7 @@
         if book is None:
             return []
         name = book.box_of_task.get(task.task)
-        assignment = book.unbook(task.task)
+        assignment = book.unassign(task.task)
         if assignment is not None and name is not None:
             self._add_cleanup(book.index.boxes[name], task.task, fact.attempt, "forget")
             update_quarantine(book.index.boxes[name], job.account, fact.ending, now)
@@ -234,7 +234,7 @@
 
     def _end_fact(
         self,
-        book: ShardBook,
+        book: OwnedShard,
         task: str,
         attempt: int,
         ending: Ending,
@@ -244,7 +244,7 @@
 
     def _record_end(
         self,
-        book: ShardBook,
+        book: OwnedShard,
         assignment: Assignment,
         ending: Ending,
         checkpoint: str = "",
@@ -264,7 +264,7 @@
         return bool(box.starts and not box.silent) or now >= box.next_exchange_at
 
     def exchange(
-        self, book: ShardBook, box: BoxState, now: float, wall: float
+        self, book: OwnedShard, box: BoxState, now: float, wall: float
     ) -> Effect:
         """Return the next exchange with ``box``; it starts tasks only within the term."""
         commands = list(box.cleanup.values())
@@ -277,7 +277,7 @@
         return CommandBox(box.info.box, box.info.address, tuple(commands))
 
     def _start_commands(
-        self, book: ShardBook, box: BoxState, now: float, wall: float
+        self, book: OwnedShard, box: BoxState, now: float, wall: float
     ) -> list[Command]:
         starts, box.starts = box.starts, {}
         if not starts:
@@ -308,14 +308,14 @@
             checkpoint=found[1].checkpoint if found else "",
         )
 
-    def _requeue_start(self, book: ShardBook, assignment: Assignment) -> None:
-        book.unbook(assignment.task)
+    def _requeue_start(self, book: OwnedShard, assignment: Assignment) -> None:
+        book.unassign(assignment.task)
         found = self._jobs.find_task(assignment.task)
         if found is not None and not found[1].ended:
             book.enqueue(*found)
 
     def _renewal_commands(
-        self, book: ShardBook, box: BoxState, wall: float
+        self, book: OwnedShard, box: BoxState, wall: float
     ) -> list[Command]:
         commands: list[Command] = []
         expires = wall + self._parameters.lease_s
@@ -358,12 +358,12 @@
         book.record_report(event.box, event.sent_wall, self._jobs)
         return effects
 
-    def _book_of(self, box: str) -> ShardBook | None:
+    def _book_of(self, box: str) -> OwnedShard | None:
         book = self._books.get(shard_of(box, self._shards))
         return book if book is not None and box in book.index.boxes else None
 
     def _apply_report(
-        self, book: ShardBook, box: BoxState, report: TaskReport, wall: float
+        self, book: OwnedShard, box: BoxState, report: TaskReport, wall: float
     ) -> list[Effect]:
         if report.state == "finished" and report.task in book.waiting:
             return [self._already_finished(book, report)]
@@ -379,7 +379,7 @@
         ending = ENDINGS.get(report.state, assignment.stop_reason)
         return [self._record_end(book, assignment, ending, report.checkpoint)]
 
-    def _already_finished(self, book: ShardBook, report: TaskReport) -> Effect:
+    def _already_finished(self, book: OwnedShard, report: TaskReport) -> Effect:
         """Apply the result of an attempt that was recorded as lost too early.
 
         The waiting attempt has not started, so no task runs twice.
@@ -392,7 +392,7 @@
         return AppendFacts(self._stream, (fact,), name)
 
     def _adopt(
-        self, book: ShardBook, box: BoxState, report: TaskReport, wall: float
+        self, book: OwnedShard, box: BoxState, report: TaskReport, wall: float
     ) -> Assignment | None:
         found = self._jobs.find_task(report.task)
         if found is None or not self._is_current(book, found, report):
@@ -417,12 +417,12 @@
             expires=wall + self._parameters.lease_s,
             reason="adopted from the box's report",
         )
-        book.book(box, assignment, adopted=True)
+        book.assign(box, assignment, adopted=True)
         return assignment
 
     @staticmethod
     def _is_current(
-        book: ShardBook, found: tuple[Job, Task], report: TaskReport
+        book: OwnedShard, found: tuple[Job, Task], report: TaskReport
     ) -> bool:
         job, task = found
         if job.shard != book.shard or task.ended:
@@ -430,7 +430,7 @@
         return task.attempt == report.attempt
 
     def _handle_missing(
-        self, book: ShardBook, assignment: Assignment, sent_wall: float
+        self, book: OwnedShard, assignment: Assignment, sent_wall: float
     ) -> list[Effect]:
         if assignment.state == "ending":
             return []
@@ -461,7 +461,7 @@
             if assignment.attempt == command.attempt:
                 self._requeue_start(book, assignment)
 
-    def end_lapsed(self, book: ShardBook, wall: float) -> list[Effect]:
+    def end_lapsed(self, book: OwnedShard, wall: float) -> list[Effect]:
         """End the attempts on silent boxes whose leases have expired."""
         effects = self._end_lapsed_uncertain(book, wall)
         for box in book.index.boxes.values():
@@ -470,7 +470,7 @@
                     effects.append(self._record_end(book, assignment, "lost"))
         return effects
 
-    def _end_lapsed_uncertain(self, book: ShardBook, wall: float) -> list[Effect]:
+    def _end_lapsed_uncertain(self, book: OwnedShard, wall: float) -> list[Effect]:
         """End the uncertain attempts once all leases of older epochs have expired.
 
         The end goes on the log and the next attempt gets a new number, so a result
--- a/src/granitetrestle/shards.py
+++ b/src/granitetrestle/shards.py
@@ -3,7 +3,6 @@
 
 import typing as t
 
-from .books import ShardBook
 from .capacity import Assignment
 from .events import AppendFacts
 from .events import BoxAnswered
@@ -23,6 +22,7 @@
 from .messages import KeyVerdict
 from .messages import LoansGranted
 from .messages import LoansHeld
+from .ownedshard import OwnedShard
 from .ownership import Ownership
 from .ownership import ShardState
 from .placement import Placement
@@ -113,7 +113,7 @@
         self._releasing |= set(self._ownership.owned())
 
     def _release(
-        self, book: ShardBook, heirs: t.Sequence[str], wall: float
+        self, book: OwnedShard, heirs: t.Sequence[str], wall: float
     ) -> list[Effect]:
         """Hand a shard over once no start of this process can still arrive."""
         if book.shard in self._released or not self._is_quiet(book, wall):
@@ -123,7 +123,7 @@
         fact = ShardReleased(book.shard, book.epoch, heir)
         return [AppendFacts(self._stream, (fact,), f"release/{book.shard}")]
 
-    def _is_quiet(self, book: ShardBook, wall: float) -> bool:
+    def _is_quiet(self, book: OwnedShard, wall: float) -> bool:
         boxes = book.index.boxes.values()
         if any(box.exchange_in_flight for box in boxes):
             return False
@@ -202,7 +202,7 @@
         return effects
 
     def _sweep(
-        self, shard: int, book: ShardBook, now: float, wall: float
+        self, shard: int, book: OwnedShard, now: float, wall: float
     ) -> list[Effect]:
         """Look at every box and task; what can't wait is done on each tick."""
         self._check_older_owner(shard, book, now, wall)
@@ -213,7 +213,7 @@
         return effects
 
     def _check_older_owner(
-        self, shard: int, book: ShardBook, now: float, wall: float
+        self, shard: int, book: OwnedShard, now: float, wall: float
     ) -> None:
         before = self._before.get(shard)
         if before is None or not before.epoch:
@@ -226,7 +226,7 @@
         self._lenders[shard].older_owner_gone(now)
 
     def _exchange(
-        self, book: ShardBook, sweep: bool, now: float, wall: float
+        self, book: OwnedShard, sweep: bool, now: float, wall: float
     ) -> list[Effect]:
         names = list(book.index.boxes) if sweep else sorted(book.boxes_with_starts)
         effects: list[Effect] = []
@@ -238,7 +238,7 @@
                 book.boxes_with_starts.discard(name)
         return effects
 
-    def _drain(self, book: ShardBook, now: float) -> list[Effect]:
+    def _drain(self, book: OwnedShard, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for box in book.index.boxes.values():
             if not (box.drained or box.info.leaving):
@@ -259,13 +259,13 @@
         return Note("draining", assignment.task, assignment.reason, epoch)
 
     def _finish_drain(
-        self, book: ShardBook, assignment: Assignment, now: float
+        self, book: OwnedShard, assignment: Assignment, now: float
     ) -> None:
         lender = self._lenders[book.shard]
         if not lender.outstanding(endpoint_name(assignment), now):
             assignment.state = "stopping"
 
-    def _lend(self, book: ShardBook, now: float) -> None:
+    def _lend(self, book: OwnedShard, now: float) -> None:
         lendable: dict[str, Lendable] = {}
         for box in book.index.boxes.values():
             if box.drained or box.info.leaving:
@@ -294,7 +294,7 @@
             for task in job.tasks.values()
         }
 
-    def _explain_task(self, book: ShardBook, job: Job, name: str) -> str:
+    def _explain_task(self, book: OwnedShard, job: Job, name: str) -> str:
         task = job.tasks[name]
         if task.ended:
             return f"ended: {task.last_ending}"
--- a/src/granitetrestle/starts.py
+++ b/src/granitetrestle/starts.py
@@ -6,13 +6,13 @@
 import heapq
 import typing as t
 
-from .books import ShardBook
 from .capacity import Assignment
 from .capacity import Vector
 from .events import AppendFacts
 from .events import Effect
 from .events import Note
 from .jobs import Jobs
+from .ownedshard import OwnedShard
 from .policy import BoxChoice
 from .policy import Policy
 from .records import AttemptEnded
@@ -46,7 +46,7 @@
         self._jobs = jobs
         self._evictions: dict[str, list[float]] = {}
 
-    def run_round(self, book: ShardBook, now: float) -> list[Effect]:
+    def run_round(self, book: OwnedShard, now: float) -> list[Effect]:
         """Run a placement round if anything changed since the last one.
 
         :returns: log notes and ends of attempts; starts are left at their boxes, to
@@ -62,7 +62,11 @@
         return effects
 
     def _run_pass(
-        self, book: ShardBook, now: float, prioritized_pass: bool, effects: list[Effect]
+        self,
+        book: OwnedShard,
+        now: float,
+        prioritized_pass: bool,
+        effects: list[Effect],
     ) -> None:
         heap = [
             (self._weighted_share(book, account), account)
@@ -77,14 +81,14 @@
                 heapq.heappush(heap, (self._weighted_share(book, account), account))
         book.dirty = True
 
-    def _weighted_share(self, book: ShardBook, account: str) -> float:
+    def _weighted_share(self, book: OwnedShard, account: str) -> float:
         usage = book.usage.get(account, Usage())
         share = usage.total.dominant_share(book.index.total)
         return share / self._table.number(account, "weight")
 
     def _place_one(
         self,
-        book: ShardBook,
+        book: OwnedShard,
         account: str,
         now: float,
         prioritized_pass: bool,
@@ -108,14 +112,16 @@
             book.blocked[(account, shape)] = reason
         return False
 
-    def _within_urgent_quota(self, book: ShardBook, account: str, shape: Shape) -> bool:
+    def _within_urgent_quota(
+        self, book: OwnedShard, account: str, shape: Shape
+    ) -> bool:
         if not shape.urgent:
             return False
         used = book.usage.get(account, Usage()).urgent_cores
         quota = self._table.number(account, "urgent_cores") / self._shards
         return used + shape.need.cores <= quota
 
-    def _end_cancelled(self, book: ShardBook, task: WaitingTask) -> Effect:
+    def _end_cancelled(self, book: OwnedShard, task: WaitingTask) -> Effect:
         book.waiting.discard(task.task)
         fact = AttemptEnded(
             task.task, task.attempt, book.shard, book.epoch, "cancelled"
@@ -124,7 +130,7 @@
 
     def _try_start(
         self,
-        book: ShardBook,
+        book: OwnedShard,
         task: WaitingTask,
         shape: Shape,
         now: float,
@@ -145,7 +151,7 @@
             return "no box has enough free resources"
         return self._evict_for(book, task, now, effects)
 
-    def exceeded_limit(self, book: ShardBook, account: str, need: Vector) -> str:
+    def exceeded_limit(self, book: OwnedShard, account: str, need: Vector) -> str:
         """Return the account limit that ``need`` would exceed; empty if none."""
         total = book.usage.get(account, Usage()).total.plus(need)
         for column, value in (
@@ -158,7 +164,7 @@
                 return f"account limit {column} ({limit:g} in this shard)"
         return ""
 
-    def _start(self, book: ShardBook, task: WaitingTask, choice: BoxChoice) -> None:
+    def _start(self, book: OwnedShard, task: WaitingTask, choice: BoxChoice) -> None:
         box = book.index.boxes[choice.box]
         assignment = Assignment(
             task.task,
@@ -173,13 +179,13 @@
             expires=0.0,
             reason=choice.reason,
         )
-        book.book(box, assignment, adopted=False)
+        book.assign(box, assignment, adopted=False)
         book.eviction_deadlines.pop(task.task, None)
         box.starts[task.task] = assignment
         book.boxes_with_starts.add(choice.box)
 
     def _evict_for(
-        self, book: ShardBook, task: WaitingTask, now: float, effects: list[Effect]
+        self, book: OwnedShard, task: WaitingTask, now: float, effects: list[Effect]
     ) -> str:
         if now < book.eviction_deadlines.get(task.task, -1.0):
             return "waiting for evicted tasks to leave"
@@ -202,7 +208,7 @@
         book.index.boxes[choice.box].next_exchange_at = now
         return f"waiting for {', '.join(choice.victims)} to leave {choice.box}"
 
-    def _within_budget(self, book: ShardBook, choice: BoxChoice, now: float) -> bool:
+    def _within_budget(self, book: OwnedShard, choice: BoxChoice, now: float) -> bool:
         tasks = book.index.boxes[choice.box].tasks
         evictions: dict[str, int] = {}
         for victim in choice.victims:
@@ -218,7 +224,7 @@
         self._evictions[account] = recent
         return len(recent)
 
-    def explain(self, book: ShardBook, task: str) -> str:
+    def explain(self, book: OwnedShard, task: str) -> str:
         """Return the reason why a task is on its box, or why it waits."""
         name = book.box_of_task.get(task)
         if name is not None:
--- a/tools/older_mutants.py
+++ b/tools/older_mutants.py
@@ -25,7 +25,7 @@
         "2: doubts are dropped at a take-over",
         (
             (
-                "books.py",
+                "ownedshard.py",
                 "if task.opened < self.epoch and self._reconciling():",
                 "if False:",
             ),
