--- a/features/steps/fake_steps.py
+++ b/features/steps/fake_steps.py
@@ -295,6 +295,6 @@
 
 @then("box {number:d} takes work")
 def takes_work(context, number):
-    book = owner(context).reducer.owner.placement.books[0]
-    box = book.index.boxes[f"zurich-w{number}"]
+    owned = owner(context).reducer.owner.placement.owned_shards[0]
+    box = owned.index.boxes[f"zurich-w{number}"]
     assert box.open_for_work(owner(context).mono), box
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -31,7 +31,7 @@
 
 __all__ = ["Placement"]
 
-ENDINGS: t.Final[dict[str, Ending]] = {
+ENDING_BY_STATE: t.Final[dict[str, Ending]] = {
     "finished": "finished",
     "failed": "failed",
     "evicted": "evicted",
@@ -58,15 +58,15 @@
         self._parameters = parameters
         self._jobs = jobs
         self._ownership = ownership
-        self._books: dict[int, OwnedShard] = {}
+        self._owned_shards: dict[int, OwnedShard] = {}
         self._listed: dict[str, BoxInfo] | None = None
         self._drained: set[str] = set()
         self._evacuated = False
 
     @property
-    def books(self) -> t.Mapping[int, OwnedShard]:
+    def owned_shards(self) -> t.Mapping[int, OwnedShard]:
         """Owned shard -> its state."""
-        return self._books
+        return self._owned_shards
 
     @property
     def listed(self) -> t.Mapping[str, BoxInfo] | None:
@@ -86,8 +86,8 @@
     def hall_evacuated(self, evacuated: bool) -> None:
         """Apply an operator's evacuation of the data hall, or its end."""
         self._evacuated = evacuated
-        for book in self._books.values():
-            book.set_evacuated(evacuated)
+        for owned in self._owned_shards.values():
+            owned.set_evacuated(evacuated)
 
     def open_shard(
         self, shard: int, before: ShardState, now: float, wall: float
@@ -109,51 +109,51 @@
             + self._parameters.lease_s
             + self._parameters.clock_margin_s
         )
-        book = OwnedShard(shard, state.epoch, starts_expired_wall, leases_expired_wall)
-        book.evacuated = self._evacuated
-        self._books[shard] = book
-        self._apply_box_list(book)
-        book.load_jobs(self._jobs)
+        owned = OwnedShard(shard, state.epoch, starts_expired_wall, leases_expired_wall)
+        owned.evacuated = self._evacuated
+        self._owned_shards[shard] = owned
+        self._apply_box_list(owned)
+        owned.load_jobs(self._jobs)
         if before.epoch == 0:
-            book.old_starts_expired_wall = 0.0
+            owned.old_starts_expired_wall = 0.0
         uncertain = (
-            f"{len(book.uncertain)} uncertain, {len(book.waiting)} waiting tasks"
+            f"{len(owned.uncertain)} uncertain, {len(owned.waiting)} waiting tasks"
         )
         return [Note("shard_won", f"shard {shard}", uncertain, state.epoch)]
 
     def close_shard(self, shard: int) -> list[Effect]:
         """Drop the state of a shard; its tasks run on until their leases expire."""
-        if self._books.pop(shard, None) is None:
+        if self._owned_shards.pop(shard, None) is None:
             return []
         return [Note("shard_lost", f"shard {shard}")]
 
     def update_boxes(self, boxes: t.Sequence[BoxInfo]) -> None:
         """Apply the platform's list of boxes."""
         self._listed = {info.box: info for info in boxes}
-        for book in self._books.values():
-            self._apply_box_list(book)
+        for owned in self._owned_shards.values():
+            self._apply_box_list(owned)
 
-    def _apply_box_list(self, book: OwnedShard) -> None:
+    def _apply_box_list(self, owned: OwnedShard) -> None:
         if self._listed is None:
             return
         for info in self._listed.values():
-            if shard_of(info.box, self._shards) != book.shard:
+            if shard_of(info.box, self._shards) != owned.shard:
                 continue
-            known = book.index.boxes.get(info.box)
+            known = owned.index.boxes.get(info.box)
             if known is None:
-                book.add_box(info, info.box in self._drained)
+                owned.add_box(info, info.box in self._drained)
             elif known.info != info:
-                book.update_box(known, info)
-        removed = [n for n, b in book.index.boxes.items() if self._is_gone(n, b)]
+                owned.update_box(known, info)
+        removed = [n for n, b in owned.index.boxes.items() if self._is_removable(n, b)]
         for name in removed:
-            book.index.remove(name)
-            book.boxes_with_starts.discard(name)
-            book.unreconciled.discard(name)
-        book.listed = True
-        book.dirty = True
-        book.resolve_uncertain(self._jobs)
-
-    def _is_gone(self, name: str, box: BoxState) -> bool:
+            owned.index.remove(name)
+            owned.boxes_with_starts.discard(name)
+            owned.unreconciled.discard(name)
+        owned.listed = True
+        owned.dirty = True
+        owned.resolve_uncertain(self._jobs)
+
+    def _is_removable(self, name: str, box: BoxState) -> bool:
         assert self._listed is not None
         return name not in self._listed and not box.tasks and not box.exchange_in_flight
 
@@ -163,10 +163,10 @@
             self._drained.add(box)
         else:
             self._drained.discard(box)
-        for book in self._books.values():
-            if box in book.index.boxes:
-                book.index.boxes[box].drained = drained
-                book.dirty = True
+        for owned in self._owned_shards.values():
+            if box in owned.index.boxes:
+                owned.index.boxes[box].drained = drained
+                owned.dirty = True
 
     def restore_drained(self, drained: t.Collection[str]) -> None:
         """Restore the drained boxes of a snapshot."""
@@ -174,26 +174,28 @@
 
     def job_submitted(self, job: Job) -> None:
         """Add the tasks of a new job if its shard is owned here."""
-        book = self._books.get(job.shard)
-        if book is None:
+        owned = self._owned_shards.get(job.shard)
+        if owned is None:
             return
         for task in job.tasks.values():
-            book.add_task(job, task)
+            owned.add_task(job, task)
 
     def job_cancelled(self, job: Job) -> list[Effect]:
         """Stop the running tasks of a job, and end those that have not started."""
-        book = self._books.get(job.shard)
-        if book is None:
+        owned = self._owned_shards.get(job.shard)
+        if owned is None:
             return []
-        return self._cancel_tasks(book, job)
+        return self._cancel_tasks(owned, job)
 
-    def _cancel_tasks(self, book: OwnedShard, job: Job) -> list[Effect]:
+    def _cancel_tasks(self, owned: OwnedShard, job: Job) -> list[Effect]:
         facts: list[AttemptEnded] = []
         for task in job.tasks.values():
-            if book.waiting.discard(task.task):
-                facts.append(self._end_fact(book, task.task, task.attempt, "cancelled"))
+            if owned.waiting.discard(task.task):
+                facts.append(
+                    self._end_fact(owned, task.task, task.attempt, "cancelled")
+                )
                 continue
-            assignment = self._assignment(book, task.task)
+            assignment = self._assignment(owned, task.task)
             if assignment is not None and assignment.state != "ending":
                 assignment.state = "stopping"
                 assignment.stop_reason = "cancelled"
@@ -201,26 +203,28 @@
             return []
         return [AppendFacts(self._stream, tuple(facts), f"cancel/{job.job}")]
 
-    def _assignment(self, book: OwnedShard, task: str) -> Assignment | None:
-        name = book.box_of_task.get(task)
-        return book.index.boxes[name].tasks[task] if name is not None else None
+    def _assignment(self, owned: OwnedShard, task: str) -> Assignment | None:
+        name = owned.box_of_task.get(task)
+        return owned.index.boxes[name].tasks[task] if name is not None else None
 
     def task_ended(
         self, job: Job, task: Task, fact: AttemptEnded, now: float
     ) -> list[Effect]:
         """Release the resources of an ended attempt, and enqueue the next attempt."""
-        book = self._books.get(job.shard)
-        if book is None:
+        owned = self._owned_shards.get(job.shard)
+        if owned is None:
             return []
-        name = book.box_of_task.get(task.task)
-        assignment = book.unassign(task.task)
+        name = owned.box_of_task.get(task.task)
+        assignment = owned.unassign(task.task)
         if assignment is not None and name is not None:
-            self._add_cleanup(book.index.boxes[name], task.task, fact.attempt, "forget")
-            update_quarantine(book.index.boxes[name], job.account, fact.ending, now)
-        book.uncertain.discard(task.task)
-        book.eviction_deadlines.pop(task.task, None)
+            self._add_cleanup(
+                owned.index.boxes[name], task.task, fact.attempt, "forget"
+            )
+            update_quarantine(owned.index.boxes[name], job.account, fact.ending, now)
+        owned.uncertain.discard(task.task)
+        owned.eviction_deadlines.pop(task.task, None)
         if not task.ended:
-            book.enqueue(job, task)
+            owned.enqueue(job, task)
         return [Note("attempt_ended", fact.task, fact.ending, fact.epoch)]
 
     def _add_cleanup(
@@ -234,24 +238,24 @@
 
     def _end_fact(
         self,
-        book: OwnedShard,
+        owned: OwnedShard,
         task: str,
         attempt: int,
         ending: Ending,
         checkpoint: str = "",
     ) -> AttemptEnded:
-        return AttemptEnded(task, attempt, book.shard, book.epoch, ending, checkpoint)
+        return AttemptEnded(task, attempt, owned.shard, owned.epoch, ending, checkpoint)
 
     def _record_end(
         self,
-        book: OwnedShard,
+        owned: OwnedShard,
         assignment: Assignment,
         ending: Ending,
         checkpoint: str = "",
     ) -> Effect:
         assignment.state = "ending"
         fact = self._end_fact(
-            book, assignment.task, assignment.attempt, ending, checkpoint
+            owned, assignment.task, assignment.attempt, ending, checkpoint
         )
         name = f"end/{assignment.task}/{assignment.attempt}"
         return AppendFacts(self._stream, (fact,), name)
@@ -264,28 +268,28 @@
         return bool(box.starts and not box.silent) or now >= box.next_exchange_at
 
     def exchange(
-        self, book: OwnedShard, box: BoxState, now: float, wall: float
+        self, owned: OwnedShard, box: BoxState, now: float, wall: float
     ) -> Effect:
         """Return the next exchange with ``box``; it starts tasks only within the term."""
         commands = list(box.cleanup.values())
         box.cleanup.clear()
-        commands += self._start_commands(book, box, now, wall)
+        commands += self._start_commands(owned, box, now, wall)
         if now < self._ownership.log_lease_ends_at() + self._parameters.orphan_s:
-            commands += self._renewal_commands(book, box, wall)
+            commands += self._renewal_commands(owned, box, wall)
         box.exchange_in_flight = True
         box.next_exchange_at = now + self._parameters.exchange_s
         return CommandBox(box.info.box, box.info.address, tuple(commands))
 
     def _start_commands(
-        self, book: OwnedShard, box: BoxState, now: float, wall: float
+        self, owned: OwnedShard, box: BoxState, now: float, wall: float
     ) -> list[Command]:
         starts, box.starts = box.starts, {}
         if not starts:
             return []
-        remaining_s = self._ownership.lease_ends_at(book.shard, now) - now
-        if remaining_s <= 0.0 or book.evacuated:
+        remaining_s = self._ownership.lease_ends_at(owned.shard, now) - now
+        if remaining_s <= 0.0 or owned.evacuated:
             for assignment in starts.values():
-                self._requeue_start(book, assignment)
+                self._requeue_start(owned, assignment)
             return []
         not_after = wall + min(self._parameters.start_window_s, remaining_s)
         commands = []
@@ -308,14 +312,14 @@
             checkpoint=found[1].checkpoint if found else "",
         )
 
-    def _requeue_start(self, book: OwnedShard, assignment: Assignment) -> None:
-        book.unassign(assignment.task)
+    def _requeue_start(self, owned: OwnedShard, assignment: Assignment) -> None:
+        owned.unassign(assignment.task)
         found = self._jobs.find_task(assignment.task)
         if found is not None and not found[1].ended:
-            book.enqueue(*found)
+            owned.enqueue(*found)
 
     def _renewal_commands(
-        self, book: OwnedShard, box: BoxState, wall: float
+        self, owned: OwnedShard, box: BoxState, wall: float
     ) -> list[Command]:
         commands: list[Command] = []
         expires = wall + self._parameters.lease_s
@@ -328,81 +332,81 @@
                 op = "checkpoint" if assignment.state == "evicting" else "renew"
                 assignment.expires = max(assignment.expires, expires)
             command = Command(
-                op, assignment.task, assignment.attempt, book.epoch, expires=expires
+                op, assignment.task, assignment.attempt, owned.epoch, expires=expires
             )
             commands.append(command)
         return commands
 
     def box_answered(self, event: BoxAnswered) -> list[Effect]:
         """Apply the report of a box."""
-        book = self._book_of(event.box)
-        if book is None:
+        owned = self._book_of(event.box)
+        if owned is None:
             return []
-        box = book.index.boxes[event.box]
+        box = owned.index.boxes[event.box]
         box.exchange_in_flight = False
-        book.dirty |= box.silent
+        owned.dirty |= box.silent
         box.last_report_wall = event.sent_wall
-        if any(report.epoch > book.epoch for report in event.report.tasks):
+        if any(report.epoch > owned.epoch for report in event.report.tasks):
             # The shard has a newer owner, whose claim is still to be read from the log.
-            book.superseded = True
-        if book.superseded:
+            owned.superseded = True
+        if owned.superseded:
             return []
         effects: list[Effect] = []
         reported: set[tuple[str, int]] = set()
         for report in event.report.tasks:
             reported.add((report.task, report.attempt))
-            effects += self._apply_report(book, box, report, event.wall)
+            effects += self._apply_report(owned, box, report, event.wall)
         for assignment in list(box.tasks.values()):
             if (assignment.task, assignment.attempt) not in reported:
-                effects += self._handle_missing(book, assignment, event.sent_wall)
-        book.record_report(event.box, event.sent_wall, self._jobs)
+                effects += self._handle_missing(owned, assignment, event.sent_wall)
+        owned.record_report(event.box, event.sent_wall, self._jobs)
         return effects
 
     def _book_of(self, box: str) -> OwnedShard | None:
-        book = self._books.get(shard_of(box, self._shards))
-        return book if book is not None and box in book.index.boxes else None
+        owned = self._owned_shards.get(shard_of(box, self._shards))
+        return owned if owned is not None and box in owned.index.boxes else None
 
     def _apply_report(
-        self, book: OwnedShard, box: BoxState, report: TaskReport, wall: float
+        self, owned: OwnedShard, box: BoxState, report: TaskReport, wall: float
     ) -> list[Effect]:
-        if report.state == "finished" and report.task in book.waiting:
-            return [self._already_finished(book, report)]
+        if report.state == "finished" and report.task in owned.waiting:
+            return [self._already_finished(owned, report)]
         assignment = box.tasks.get(report.task)
         if assignment is None or assignment.attempt != report.attempt:
-            assignment = self._adopt(book, box, report, wall)
+            assignment = self._adopt(owned, box, report, wall)
         if assignment is None or assignment.state == "ending":
             return []
         if report.state == "running":
             if assignment.state == "starting":
                 assignment.state = "running"
             return []
-        ending = ENDINGS.get(report.state, assignment.stop_reason)
-        return [self._record_end(book, assignment, ending, report.checkpoint)]
+        ending = ENDING_BY_STATE.get(report.state, assignment.stop_reason)
+        return [self._record_end(owned, assignment, ending, report.checkpoint)]
 
-    def _already_finished(self, book: OwnedShard, report: TaskReport) -> Effect:
+    def _already_finished(self, owned: OwnedShard, report: TaskReport) -> Effect:
         """Apply the result of an attempt that was recorded as lost too early.
 
         The waiting attempt has not started, so no task runs twice.
         """
-        waiting = book.waiting.find(report.task)
+        waiting = owned.waiting.find(report.task)
         assert waiting is not None
-        book.waiting.discard(report.task)
-        fact = self._end_fact(book, report.task, waiting.attempt, "finished")
+        owned.waiting.discard(report.task)
+        fact = self._end_fact(owned, report.task, waiting.attempt, "finished")
         name = f"end/{report.task}/{waiting.attempt}"
         return AppendFacts(self._stream, (fact,), name)
 
     def _adopt(
-        self, book: OwnedShard, box: BoxState, report: TaskReport, wall: float
+        self, owned: OwnedShard, box: BoxState, report: TaskReport, wall: float
     ) -> Assignment | None:
         found = self._jobs.find_task(report.task)
-        if found is None or not self._is_current(book, found, report):
+        if found is None or not self._is_current(owned, found, report):
             op: t.Literal["stop", "forget"] = "forget"
             if report.state == "running":
                 op = "stop"
             self._add_cleanup(box, report.task, report.attempt, op)
             return None
         job, task = found
-        if task.task in book.box_of_task or task.task in book.waiting:
+        if task.task in owned.box_of_task or task.task in owned.waiting:
             raise InvariantViolated(f"{task.task} also runs on {box.info.box}")
         assignment = Assignment(
             task.task,
@@ -417,20 +421,20 @@
             expires=wall + self._parameters.lease_s,
             reason="adopted from the box's report",
         )
-        book.assign(box, assignment, adopted=True)
+        owned.assign(box, assignment, adopted=True)
         return assignment
 
     @staticmethod
     def _is_current(
-        book: OwnedShard, found: tuple[Job, Task], report: TaskReport
+        owned: OwnedShard, found: tuple[Job, Task], report: TaskReport
     ) -> bool:
         job, task = found
-        if job.shard != book.shard or task.ended:
+        if job.shard != owned.shard or task.ended:
             return False
         return task.attempt == report.attempt
 
     def _handle_missing(
-        self, book: OwnedShard, assignment: Assignment, sent_wall: float
+        self, owned: OwnedShard, assignment: Assignment, sent_wall: float
     ) -> list[Effect]:
         if assignment.state == "ending":
             return []
@@ -438,55 +442,55 @@
             ending: Ending = "lost"
             if assignment.state == "stopping":
                 ending = assignment.stop_reason
-            return [self._record_end(book, assignment, ending)]
+            return [self._record_end(owned, assignment, ending)]
         latest_arrival_wall = assignment.not_after + self._parameters.clock_margin_s
         if assignment.not_after and sent_wall > latest_arrival_wall:
-            self._requeue_start(book, assignment)
+            self._requeue_start(owned, assignment)
         return []
 
     def box_failed(self, event: BoxFailed) -> None:
         """Record a failed exchange; starts are requeued only if it was not sent."""
-        book = self._book_of(event.box)
-        if book is None:
+        owned = self._book_of(event.box)
+        if owned is None:
             return
-        box = book.index.boxes[event.box]
+        box = owned.index.boxes[event.box]
         box.exchange_in_flight = False
         box.last_failure_wall = max(box.last_failure_wall, event.sent_wall)
         if not event.unsent:
             return
         for command in event.commands:
-            assignment = self._assignment(book, command.task)
+            assignment = self._assignment(owned, command.task)
             if command.op != "start" or assignment is None:
                 continue
             if assignment.attempt == command.attempt:
-                self._requeue_start(book, assignment)
+                self._requeue_start(owned, assignment)
 
-    def end_lapsed(self, book: OwnedShard, wall: float) -> list[Effect]:
+    def end_lapsed(self, owned: OwnedShard, wall: float) -> list[Effect]:
         """End the attempts on silent boxes whose leases have expired."""
-        effects = self._end_lapsed_uncertain(book, wall)
-        for box in book.index.boxes.values():
+        effects = self._end_lapsed_uncertain(owned, wall)
+        for box in owned.index.boxes.values():
             for assignment in box.tasks.values():
                 if self._has_lapsed(assignment, box):
-                    effects.append(self._record_end(book, assignment, "lost"))
+                    effects.append(self._record_end(owned, assignment, "lost"))
         return effects
 
-    def _end_lapsed_uncertain(self, book: OwnedShard, wall: float) -> list[Effect]:
+    def _end_lapsed_uncertain(self, owned: OwnedShard, wall: float) -> list[Effect]:
         """End the uncertain attempts once all leases of older epochs have expired.
 
         The end goes on the log and the next attempt gets a new number, so a result
         that a silent box reports later is not taken for that of the next attempt.
         """
-        if not book.uncertain or wall < book.old_leases_expired_wall:
+        if not owned.uncertain or wall < owned.old_leases_expired_wall:
             return []
-        uncertain, book.uncertain = book.uncertain, set()
+        uncertain, owned.uncertain = owned.uncertain, set()
         facts = [
-            self._end_fact(book, name, found[1].attempt, "lost")
+            self._end_fact(owned, name, found[1].attempt, "lost")
             for name in sorted(uncertain)
             if (found := self._jobs.find_task(name)) and not found[1].ended
         ]
         if not facts:
             return []
-        return [AppendFacts(self._stream, tuple(facts), f"lapse/{book.shard}")]
+        return [AppendFacts(self._stream, tuple(facts), f"lapse/{owned.shard}")]
 
     def _has_lapsed(self, assignment: Assignment, box: BoxState) -> bool:
         """Return whether an exchange failed that was sent after the lease expired.
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -297,7 +297,7 @@
         return self._restore_hall(decode_hall(event.payload))
 
     def _restore_hall(self, state: HallState) -> list[Effect]:
-        for shard in list(self._owner.placement.books):
+        for shard in list(self._owner.placement.owned_shards):
             self._owner.lost(shard)
         self._jobs.restore(state.jobs)
         self._ownership.restore(state.shards)
--- a/src/granitetrestle/shards.py
+++ b/src/granitetrestle/shards.py
@@ -29,7 +29,7 @@
 from .placementparameters import PlacementParameters
 from .policy import Policy
 from .records import ShardReleased
-from .starts import Starter
+from .starts import TaskStarter
 from .table import Table
 
 __all__ = ["ShardOwner"]
@@ -57,7 +57,7 @@
         self._lending_terms = lending_terms
         self._ownership = ownership
         self._placement = Placement(stream, shards, placement_terms, jobs, ownership)
-        self._starter = Starter(stream, shards, policy, table, jobs)
+        self._starter = TaskStarter(stream, shards, policy, table, jobs)
         self._lenders: dict[int, Lender] = {}
         self._keys: dict[int, KeyLedger] = {}
         self._before: dict[int, ShardState] = {}
@@ -113,30 +113,30 @@
         self._releasing |= set(self._ownership.owned())
 
     def _release(
-        self, book: OwnedShard, heirs: t.Sequence[str], wall: float
+        self, owned: OwnedShard, heirs: t.Sequence[str], wall: float
     ) -> list[Effect]:
         """Hand a shard over once no start of this process can still arrive."""
-        if book.shard in self._released or not self._is_quiet(book, wall):
+        if owned.shard in self._released or not self._is_quiet(owned, wall):
             return []
-        self._released.add(book.shard)
-        heir = heirs[book.shard % len(heirs)] if heirs else ""
-        fact = ShardReleased(book.shard, book.epoch, heir)
-        return [AppendFacts(self._stream, (fact,), f"release/{book.shard}")]
+        self._released.add(owned.shard)
+        heir = heirs[owned.shard % len(heirs)] if heirs else ""
+        fact = ShardReleased(owned.shard, owned.epoch, heir)
+        return [AppendFacts(self._stream, (fact,), f"release/{owned.shard}")]
 
-    def _is_quiet(self, book: OwnedShard, wall: float) -> bool:
-        boxes = book.index.boxes.values()
+    def _is_quiet(self, owned: OwnedShard, wall: float) -> bool:
+        boxes = owned.index.boxes.values()
         if any(box.exchange_in_flight for box in boxes):
             return False
         limit = wall - self._parameters.clock_margin_s
         return all(
             assignment.not_after < limit
-            for assignment in book.assignments()
+            for assignment in owned.assignments()
             if assignment.state == "starting"
         )
 
     def _may_decide(self, shard: int, now: float) -> bool:
-        book = self._placement.books.get(shard)
-        if book is None or book.superseded or shard in self._releasing:
+        owned = self._placement.owned_shards.get(shard)
+        if owned is None or owned.superseded or shard in self._releasing:
             return False
         return self._ownership.may_start(shard, now)
 
@@ -164,8 +164,8 @@
         lender = self._lenders.get(message.shard)
         if lender is None or message.shard in self._releasing:
             return None
-        book = self._placement.books[message.shard]
-        if book.superseded:
+        owned = self._placement.owned_shards[message.shard]
+        if owned.superseded:
             return None
         if message.supports and message.epoch == lender.epoch:
             since = lender.grant_sent_at(node, incarnation, message.applied)
@@ -174,7 +174,7 @@
         if now > self._ownership.log_lease_ends_at() + self._parameters.orphan_s:
             return None
         in_office = self._may_decide(message.shard, now)
-        complete = book.listed and not book.unreconciled
+        complete = owned.listed and not owned.unreconciled
         return lender.asked(node, incarnation, message, now, in_office, complete)
 
     def box_answered(self, event: BoxAnswered) -> list[Effect]:
@@ -190,30 +190,30 @@
         sweep = now >= self._sweep_at
         if sweep:
             self._sweep_at = now + SWEEP_S
-        for shard, book in list(self._placement.books.items()):
+        for shard, owned in list(self._placement.owned_shards.items()):
             if sweep:
-                effects += self._sweep(shard, book, now, wall)
+                effects += self._sweep(shard, owned, now, wall)
             if self._may_decide(shard, now):
-                effects += self._starter.run_round(book, now)
+                effects += self._starter.run_round(owned, now)
             if shard in self._releasing:
-                effects += self._release(book, heirs, wall)
-            elif not book.superseded:
-                effects += self._exchange(book, sweep, now, wall)
+                effects += self._release(owned, heirs, wall)
+            elif not owned.superseded:
+                effects += self._exchange(owned, sweep, now, wall)
         return effects
 
     def _sweep(
-        self, shard: int, book: OwnedShard, now: float, wall: float
+        self, shard: int, owned: OwnedShard, now: float, wall: float
     ) -> list[Effect]:
         """Look at every box and task; what can't wait is done on each tick."""
-        self._check_older_owner(shard, book, now, wall)
-        effects = self._placement.end_lapsed(book, wall)
-        effects += self._drain(book, now)
-        self._lend(book, now)
+        self._check_older_owner(shard, owned, now, wall)
+        effects = self._placement.end_lapsed(owned, wall)
+        effects += self._drain(owned, now)
+        self._lend(owned, now)
         self._keys[shard].prune(wall)
         return effects
 
     def _check_older_owner(
-        self, shard: int, book: OwnedShard, now: float, wall: float
+        self, shard: int, owned: OwnedShard, now: float, wall: float
     ) -> None:
         before = self._before.get(shard)
         if before is None or not before.epoch:
@@ -222,32 +222,34 @@
             return
         del self._before[shard]
         margin = self._parameters.lease_s + self._parameters.clock_margin_s
-        book.old_leases_expired_wall = min(book.old_leases_expired_wall, wall + margin)
+        owned.old_leases_expired_wall = min(
+            owned.old_leases_expired_wall, wall + margin
+        )
         self._lenders[shard].older_owner_gone(now)
 
     def _exchange(
-        self, book: OwnedShard, sweep: bool, now: float, wall: float
+        self, owned: OwnedShard, sweep: bool, now: float, wall: float
     ) -> list[Effect]:
-        names = list(book.index.boxes) if sweep else sorted(book.boxes_with_starts)
+        names = list(owned.index.boxes) if sweep else sorted(owned.boxes_with_starts)
         effects: list[Effect] = []
         for name in names:
-            box = book.index.boxes[name]
+            box = owned.index.boxes[name]
             if self._placement.exchange_due(box, now):
-                effects.append(self._placement.exchange(book, box, now, wall))
+                effects.append(self._placement.exchange(owned, box, now, wall))
             if not box.starts:
-                book.boxes_with_starts.discard(name)
+                owned.boxes_with_starts.discard(name)
         return effects
 
-    def _drain(self, book: OwnedShard, now: float) -> list[Effect]:
+    def _drain(self, owned: OwnedShard, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        for box in book.index.boxes.values():
+        for box in owned.index.boxes.values():
             if not (box.drained or box.info.leaving):
                 continue
             for assignment in box.tasks.values():
                 if assignment.state == "running":
-                    effects.append(self._begin_drain(assignment, book.epoch))
+                    effects.append(self._begin_drain(assignment, owned.epoch))
                 elif assignment.state == "draining":
-                    self._finish_drain(book, assignment, now)
+                    self._finish_drain(owned, assignment, now)
         return effects
 
     @staticmethod
@@ -259,15 +261,15 @@
         return Note("draining", assignment.task, assignment.reason, epoch)
 
     def _finish_drain(
-        self, book: OwnedShard, assignment: Assignment, now: float
+        self, owned: OwnedShard, assignment: Assignment, now: float
     ) -> None:
-        lender = self._lenders[book.shard]
+        lender = self._lenders[owned.shard]
         if not lender.outstanding(endpoint_name(assignment), now):
             assignment.state = "stopping"
 
-    def _lend(self, book: OwnedShard, now: float) -> None:
+    def _lend(self, owned: OwnedShard, now: float) -> None:
         lendable: dict[str, Lendable] = {}
-        for box in book.index.boxes.values():
+        for box in owned.index.boxes.values():
             if box.drained or box.info.leaving:
                 continue
             for assignment in box.tasks.values():
@@ -277,28 +279,28 @@
                 info = EndpointInfo(
                     name, assignment.spec.service, box.info.endpoint_address
                 )
-                ours = assignment.epoch == book.epoch
+                ours = assignment.epoch == owned.epoch
                 lendable[name] = Lendable(info, box.info.slots, ours)
-        lender = self._lenders[book.shard]
+        lender = self._lenders[owned.shard]
         lender.set_lendable(lendable)
         lender.forget_silent(now)
         lender.check(now)
 
     def explain(self, job: Job) -> dict[str, str] | None:
         """Return task -> why it is where it is; ``None`` if not owned here."""
-        book = self._placement.books.get(job.shard)
-        if book is None:
+        owned = self._placement.owned_shards.get(job.shard)
+        if owned is None:
             return None
         return {
-            task.task: self._explain_task(book, job, task.task)
+            task.task: self._explain_task(owned, job, task.task)
             for task in job.tasks.values()
         }
 
-    def _explain_task(self, book: OwnedShard, job: Job, name: str) -> str:
+    def _explain_task(self, owned: OwnedShard, job: Job, name: str) -> str:
         task = job.tasks[name]
         if task.ended:
             return f"ended: {task.last_ending}"
-        return self._starter.explain(book, name)
+        return self._starter.explain(owned, name)
 
 
 def endpoint_name(assignment: Assignment) -> str:
--- a/src/granitetrestle/starts.py
+++ b/src/granitetrestle/starts.py
@@ -21,14 +21,14 @@
 from .waiting import Usage
 from .waiting import WaitingTask
 
-__all__ = ["Starter"]
+__all__ = ["TaskStarter"]
 
 MAX_PLACEMENTS_PER_PASS = 2000
 EVICTION_TIMEOUT_S = 5.0
 MAX_EVICTIONS_PER_MINUTE = 30
 
 
-class Starter:
+class TaskStarter:
     """Places waiting tasks of owned shards.
 
     :param stream: stream of the data hall, for ends of tasks that never started.
@@ -46,114 +46,114 @@
         self._jobs = jobs
         self._evictions: dict[str, list[float]] = {}
 
-    def run_round(self, book: OwnedShard, now: float) -> list[Effect]:
+    def run_round(self, owned: OwnedShard, now: float) -> list[Effect]:
         """Run a placement round if anything changed since the last one.
 
         :returns: log notes and ends of attempts; starts are left at their boxes, to
             be sent by the next exchange.
         """
-        if not book.dirty:
+        if not owned.dirty:
             return []
-        book.dirty = False
-        book.blocked.clear()
+        owned.dirty = False
+        owned.blocked.clear()
         effects: list[Effect] = []
         for prioritized_pass in (True, False):
-            self._run_pass(book, now, prioritized_pass, effects)
+            self._run_pass(owned, now, prioritized_pass, effects)
         return effects
 
     def _run_pass(
         self,
-        book: OwnedShard,
+        owned: OwnedShard,
         now: float,
         prioritized_pass: bool,
         effects: list[Effect],
     ) -> None:
         heap = [
-            (self._weighted_share(book, account), account)
-            for account in book.waiting.accounts
+            (self._weighted_share(owned, account), account)
+            for account in owned.waiting.accounts
         ]
         heapq.heapify(heap)
         for _ in range(MAX_PLACEMENTS_PER_PASS):
             if not heap:
                 return
             _, account = heapq.heappop(heap)
-            if self._place_one(book, account, now, prioritized_pass, effects):
-                heapq.heappush(heap, (self._weighted_share(book, account), account))
-        book.dirty = True
+            if self._place_one(owned, account, now, prioritized_pass, effects):
+                heapq.heappush(heap, (self._weighted_share(owned, account), account))
+        owned.dirty = True
 
-    def _weighted_share(self, book: OwnedShard, account: str) -> float:
-        usage = book.usage.get(account, Usage())
-        share = usage.total.dominant_share(book.index.total)
+    def _weighted_share(self, owned: OwnedShard, account: str) -> float:
+        usage = owned.usage.get(account, Usage())
+        share = usage.total.dominant_share(owned.index.total)
         return share / self._table.number(account, "weight")
 
     def _place_one(
         self,
-        book: OwnedShard,
+        owned: OwnedShard,
         account: str,
         now: float,
         prioritized_pass: bool,
         effects: list[Effect],
     ) -> bool:
-        for shape in book.waiting.shapes(account):
+        for shape in owned.waiting.shapes(account):
             prioritized = shape.service or self._within_urgent_quota(
-                book, account, shape
+                owned, account, shape
             )
-            if prioritized != prioritized_pass or (account, shape) in book.blocked:
+            if prioritized != prioritized_pass or (account, shape) in owned.blocked:
                 continue
-            task = book.waiting.head(account, shape)
+            task = owned.waiting.head(account, shape)
             if task is None:
                 continue
             if self._jobs.jobs[task.job].cancelled:
-                effects.append(self._end_cancelled(book, task))
+                effects.append(self._end_cancelled(owned, task))
                 return True
-            reason = self._try_start(book, task, shape, now, effects)
+            reason = self._try_start(owned, task, shape, now, effects)
             if not reason:
                 return True
-            book.blocked[(account, shape)] = reason
+            owned.blocked[(account, shape)] = reason
         return False
 
     def _within_urgent_quota(
-        self, book: OwnedShard, account: str, shape: Shape
+        self, owned: OwnedShard, account: str, shape: Shape
     ) -> bool:
         if not shape.urgent:
             return False
-        used = book.usage.get(account, Usage()).urgent_cores
+        used = owned.usage.get(account, Usage()).urgent_cores
         quota = self._table.number(account, "urgent_cores") / self._shards
         return used + shape.need.cores <= quota
 
-    def _end_cancelled(self, book: OwnedShard, task: WaitingTask) -> Effect:
-        book.waiting.discard(task.task)
+    def _end_cancelled(self, owned: OwnedShard, task: WaitingTask) -> Effect:
+        owned.waiting.discard(task.task)
         fact = AttemptEnded(
-            task.task, task.attempt, book.shard, book.epoch, "cancelled"
+            task.task, task.attempt, owned.shard, owned.epoch, "cancelled"
         )
         return AppendFacts(self._stream, (fact,), f"end/{task.task}/{task.attempt}")
 
     def _try_start(
         self,
-        book: OwnedShard,
+        owned: OwnedShard,
         task: WaitingTask,
         shape: Shape,
         now: float,
         effects: list[Effect],
     ) -> str:
-        exceeded = self.exceeded_limit(book, task.account, shape.need)
+        exceeded = self.exceeded_limit(owned, task.account, shape.need)
         if exceeded:
             return exceeded
-        choice = self._policy.choose(task.spec, task.job, book.index, now)
+        choice = self._policy.choose(task.spec, task.job, owned.index, now)
         if choice is not None:
-            self._start(book, task, choice)
+            self._start(owned, task, choice)
             note = f"on {choice.box}: {choice.reason}"
-            effects.append(Note("placed", task.task, note, book.epoch))
+            effects.append(Note("placed", task.task, note, owned.epoch))
             return ""
         if not shape.service and not self._within_urgent_quota(
-            book, task.account, shape
+            owned, task.account, shape
         ):
             return "no box has enough free resources"
-        return self._evict_for(book, task, now, effects)
+        return self._evict_for(owned, task, now, effects)
 
-    def exceeded_limit(self, book: OwnedShard, account: str, need: Vector) -> str:
+    def exceeded_limit(self, owned: OwnedShard, account: str, need: Vector) -> str:
         """Return the account limit that ``need`` would exceed; empty if none."""
-        total = book.usage.get(account, Usage()).total.plus(need)
+        total = owned.usage.get(account, Usage()).total.plus(need)
         for column, value in (
             ("max_cores", total.cores),
             ("max_memory_gb", total.memory_gb),
@@ -164,12 +164,12 @@
                 return f"account limit {column} ({limit:g} in this shard)"
         return ""
 
-    def _start(self, book: OwnedShard, task: WaitingTask, choice: BoxChoice) -> None:
-        box = book.index.boxes[choice.box]
+    def _start(self, owned: OwnedShard, task: WaitingTask, choice: BoxChoice) -> None:
+        box = owned.index.boxes[choice.box]
         assignment = Assignment(
             task.task,
             task.attempt,
-            book.epoch,
+            owned.epoch,
             task.account,
             task.job,
             task.spec,
@@ -179,37 +179,40 @@
             expires=0.0,
             reason=choice.reason,
         )
-        book.assign(box, assignment, adopted=False)
-        book.eviction_deadlines.pop(task.task, None)
+        owned.assign(box, assignment, adopted=False)
+        owned.eviction_deadlines.pop(task.task, None)
         box.starts[task.task] = assignment
-        book.boxes_with_starts.add(choice.box)
+        owned.boxes_with_starts.add(choice.box)
 
     def _evict_for(
-        self, book: OwnedShard, task: WaitingTask, now: float, effects: list[Effect]
+        self, owned: OwnedShard, task: WaitingTask, now: float, effects: list[Effect]
     ) -> str:
-        if now < book.eviction_deadlines.get(task.task, -1.0):
+        if now < owned.eviction_deadlines.get(task.task, -1.0):
             return "waiting for evicted tasks to leave"
         choice = self._policy.choose_evictions(
-            task.spec, book.index, now, lambda a: self._table.number(a, "eviction_cost")
+            task.spec,
+            owned.index,
+            now,
+            lambda a: self._table.number(a, "eviction_cost"),
         )
         if choice is None:
             return "no box has enough free resources, even with evictions"
-        if not self._within_budget(book, choice, now):
+        if not self._within_budget(owned, choice, now):
             return "eviction budget of the accounts to evict from is spent"
-        book.eviction_deadlines[task.task] = now + EVICTION_TIMEOUT_S
+        owned.eviction_deadlines[task.task] = now + EVICTION_TIMEOUT_S
         for victim in choice.victims:
-            assignment = book.index.boxes[choice.box].tasks[victim]
+            assignment = owned.index.boxes[choice.box].tasks[victim]
             assignment.state = "evicting"
             assignment.stop_reason = "evicted"
             self._evictions.setdefault(assignment.account, []).append(now)
             reason = f"evicted from {choice.box} for {task.task}: {choice.reason}"
             assignment.reason = reason
-            effects.append(Note("evicting", victim, reason, book.epoch))
-        book.index.boxes[choice.box].next_exchange_at = now
+            effects.append(Note("evicting", victim, reason, owned.epoch))
+        owned.index.boxes[choice.box].next_exchange_at = now
         return f"waiting for {', '.join(choice.victims)} to leave {choice.box}"
 
-    def _within_budget(self, book: OwnedShard, choice: BoxChoice, now: float) -> bool:
-        tasks = book.index.boxes[choice.box].tasks
+    def _within_budget(self, owned: OwnedShard, choice: BoxChoice, now: float) -> bool:
+        tasks = owned.index.boxes[choice.box].tasks
         evictions: dict[str, int] = {}
         for victim in choice.victims:
             account = tasks[victim].account
@@ -224,20 +227,20 @@
         self._evictions[account] = recent
         return len(recent)
 
-    def explain(self, book: OwnedShard, task: str) -> str:
+    def explain(self, owned: OwnedShard, task: str) -> str:
         """Return the reason why a task is on its box, or why it waits."""
-        name = book.box_of_task.get(task)
+        name = owned.box_of_task.get(task)
         if name is not None:
-            assignment = book.index.boxes[name].tasks[task]
+            assignment = owned.index.boxes[name].tasks[task]
             return f"{assignment.state} on {name}: {assignment.reason}"
-        if task in book.uncertain:
-            silent = ", ".join(sorted(book.unreconciled)[:5])
+        if task in owned.uncertain:
+            silent = ", ".join(sorted(owned.unreconciled)[:5])
             return f"may still run under an older epoch; no report yet from: {silent}"
-        waiting = book.waiting.find(task)
+        waiting = owned.waiting.find(task)
         if waiting is None:
             return "unknown to the owner of this shard"
-        reason = book.blocked.get((waiting.account, Shape.of(waiting.spec)))
-        if book.evacuated:
+        reason = owned.blocked.get((waiting.account, Shape.of(waiting.spec)))
+        if owned.evacuated:
             return "waiting: operators have evacuated the data hall"
         return f"waiting: {reason or 'next round'}"
 
--- a/src/granitetrestle/views.py
+++ b/src/granitetrestle/views.py
@@ -185,8 +185,8 @@
     views = []
     for name, info in sorted((placement.listed or {}).items()):
         shard = reducer.shard_of_box(name)
-        book = placement.books.get(shard)
-        box = book.index.boxes.get(name) if book else None
+        owned = placement.owned_shards.get(shard)
+        box = owned.index.boxes.get(name) if owned else None
         state = "leaving" if info.leaving else "live"
         if placement.evacuated:
             state = "evacuated"
--- a/src/granitetrestle_bench/slopes.py
+++ b/src/granitetrestle_bench/slopes.py
@@ -91,7 +91,7 @@
         count = 600
         rig.submit(count, 1, BATCH)
         elapsed = cpu_of(lambda: rig.step(ev.Tick(rig.now, rig.now)))
-        placed = len(rig.reducer.owner.placement.books[0].box_of_task)
+        placed = len(rig.reducer.owner.placement.owned_shards[0].box_of_task)
         assert placed == min(count, 24 * boxes), placed
         return elapsed / placed * 1e6
 
