--- a/features/promise_2_one_place_at_a_time.feature
+++ b/features/promise_2_one_place_at_a_time.feature
@@ -1,8 +1,9 @@
 Feature: Promise 2: a task runs in one place at a time
-  Starts carry a time after which they are dead on arrival; a new owner waits
-  until every start and lease of an older epoch is accounted for.
+  Guards against a task started again while an older attempt still runs. A box rejects
+  a start that arrives after the time in it, and a new owner waits until every start
+  and lease of older epochs is reported or expired.
 
-  Scenario: The owner freezes past its term just before a start leaves
+  Scenario: The owner freezes beyond its term just before it sends a start
     Given a hall of 3 processes and 3 boxes among fakes
     When a job of 1 tasks of 4 cores is submitted
     And the owner freezes for 12 seconds as a start is about to leave
@@ -20,7 +21,7 @@
     When all faults end and everything settles
     Then the job finished, each task in one place at a time
 
-  Scenario: The owner is cut off while work waits, and goes on seeing its boxes
+  Scenario: The owner is cut off while tasks wait, but still reaches its boxes
     Given a hall of 3 processes and 2 boxes among fakes
     When a job of 8 tasks of 8 cores is submitted
     And 1 seconds pass
@@ -29,7 +30,7 @@
     And all faults end and everything settles
     Then the job finished, each task in one place at a time
 
-  Scenario: The platform is down for longer than every term and lease
+  Scenario: The platform is down for longer than all terms and leases
     Given a hall of 3 processes and 2 boxes among fakes
     And batch work of 2 tasks of 8 cores fills the boxes
     When the platform is down for 25 seconds
--- a/features/promise_3_evicted_work_resumes_once.feature
+++ b/features/promise_3_evicted_work_resumes_once.feature
@@ -1,8 +1,9 @@
 Feature: Promise 3: evicted work resumes exactly once
-  Evict is: checkpoint, proof of the stop, the end on the log, then the next
-  attempt from that checkpoint.
+  An eviction has four steps: checkpoint, confirmed stop, end on the log, then the next
+  attempt from that checkpoint. Guards against faults between them, which could lose
+  the checkpoint or resume from it twice.
 
-  Scenario: Urgent work has batch work checkpointed, and the owner dies meanwhile
+  Scenario: The owner dies while batch tasks are evicted for an urgent task
     Given a hall of 3 processes and 2 boxes among fakes
     And batch work of 2 tasks of 8 cores fills the boxes
     When urgent work of 4 cores is submitted
@@ -12,7 +13,7 @@
     And all faults end and everything settles
     Then each evicted task resumed once, from its checkpoint
 
-  Scenario: Answers of boxes are lost, doubled and late while work is evicted
+  Scenario: Answers of boxes are lost, duplicated and delayed during an eviction
     Given a hall of 3 processes and 2 boxes among fakes
     And batch work of 2 tasks of 8 cores fills the boxes
     When the network loses, doubles and delays a third of what it carries
@@ -21,7 +22,7 @@
     And all faults end and everything settles
     Then each evicted task resumed once, from its checkpoint
 
-  Scenario: An owner that was followed records ends late
+  Scenario: Ends recorded by a replaced owner reach the log late
     Given a hall of 3 processes and 2 boxes among fakes
     And batch work of 2 tasks of 8 cores fills the boxes
     When the owner is killed for 5 seconds
--- a/src/granitetrestle/ownedshard.py
+++ b/src/granitetrestle/ownedshard.py
@@ -35,7 +35,7 @@
     :param superseded: a box reported a newer epoch; no further decisions are made.
     :param dirty: whether anything changed since the last placement round.
     :param evacuated: the data hall is evacuated; no tasks are started.
-    :param blocked: why no task of an account and shape could be placed in the last
+    :param blocked: (account, shape) -> why none of its tasks was placed in the last
         round.
     :param boxes_with_starts: boxes with start commands that are not sent yet.
     :param eviction_deadlines: task -> monotonic time (s) until which it waits for
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -1,7 +1,7 @@
 """Keeps the state of owned shards in line with their boxes: sends commands, applies
 reports, renews leases, and records the end of every attempt on the log. An attempt
 counts as occupying its box until a report or an expired lease proves that it does
-not; answers can be lost, so they prove nothing."""
+not. An exchange without an answer proves nothing: its commands may have arrived."""
 
 import typing as t
 
@@ -92,10 +92,7 @@
     def open_shard(
         self, shard: int, before: ShardState, now: float, wall: float
     ) -> list[Effect]:
-        """Create the state of a shard whose claim this process has won.
-
-        :param before: the shard before the claim; epoch 0 if it never had an owner.
-        """
+        """Create the state of a shard whose claim this process has won."""
         state = self._ownership.shards[shard]
         starts_expired_wall = (
             self._ownership.predecessor_quiesced_at(shard) - now + wall
@@ -116,10 +113,8 @@
         owned.load_jobs(self._jobs)
         if before.epoch == 0:
             owned.old_starts_expired_wall = 0.0
-        uncertain = (
-            f"{len(owned.uncertain)} uncertain, {len(owned.waiting)} waiting tasks"
-        )
-        return [Note("shard_won", f"shard {shard}", uncertain, state.epoch)]
+        tasks = f"tasks: {len(owned.uncertain)} uncertain, {len(owned.waiting)} waiting"
+        return [Note("shard_won", f"shard {shard}", tasks, state.epoch)]
 
     def close_shard(self, shard: int) -> list[Effect]:
         """Drop the state of a shard; its tasks run on until their leases expire."""
--- a/src/granitetrestle/starts.py
+++ b/src/granitetrestle/starts.py
@@ -205,7 +205,7 @@
             assignment.state = "evicting"
             assignment.stop_reason = "evicted"
             self._evictions.setdefault(assignment.account, []).append(now)
-            reason = f"evicted from {choice.box} for {task.task}: {choice.reason}"
+            reason = f"frees {choice.box} for {task.task}: {choice.reason}"
             assignment.reason = reason
             effects.append(Note("evicting", victim, reason, owned.epoch))
         owned.index.boxes[choice.box].next_exchange_at = now
