--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -334,7 +334,7 @@
 
     def box_answered(self, event: BoxAnswered) -> list[Effect]:
         """Apply the report of a box."""
-        owned = self._book_of(event.box)
+        owned = self._owned_shard_of(event.box)
         if owned is None:
             return []
         box = owned.index.boxes[event.box]
@@ -357,7 +357,7 @@
         owned.record_report(event.box, event.sent_wall, self._jobs)
         return effects
 
-    def _book_of(self, box: str) -> OwnedShard | None:
+    def _owned_shard_of(self, box: str) -> OwnedShard | None:
         owned = self._owned_shards.get(shard_of(box, self._shards))
         return owned if owned is not None and box in owned.index.boxes else None
 
@@ -445,7 +445,7 @@
 
     def box_failed(self, event: BoxFailed) -> None:
         """Record a failed exchange; starts are requeued only if it was not sent."""
-        owned = self._book_of(event.box)
+        owned = self._owned_shard_of(event.box)
         if owned is None:
             return
         box = owned.index.boxes[event.box]
