--- a/src/granitetrestle/policy.py
+++ b/src/granitetrestle/policy.py
@@ -12,7 +12,7 @@
 
 __all__ = ["FirstFit", "Policy", "RackSpread", "BoxChoice"]
 
-MAX_CANDIDATES = 12
+MAX_CANDIDATES = 12  # boxes that a placement compares
 MIN_EVICTION_CANDIDATES = 16
 
 
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -312,7 +312,7 @@
         ]
 
     def _write_due_snapshots(self, now: float) -> list[Effect]:
-        """Write snapshots before the log drops the records that they cover."""
+        """Write snapshots well before the log drops the records that they cover."""
         if self._ownership.aggregator(now) != self._setup.node:
             return []
         effects = self._write_if_due(self._stream, now)
--- a/src/granitetrestle/starts.py
+++ b/src/granitetrestle/starts.py
@@ -24,8 +24,9 @@
 __all__ = ["TaskStarter"]
 
 MAX_PLACEMENTS_PER_PASS = 2000
+# A task for which others were evicted may evict again if it has not started by then.
 EVICTION_TIMEOUT_S = 5.0
-MAX_EVICTIONS_PER_MINUTE = 30
+MAX_EVICTIONS_PER_MINUTE = 30  # of each account
 
 
 class TaskStarter:
