--- a/src/granitetrestle/borrowing.py
+++ b/src/granitetrestle/borrowing.py
@@ -15,9 +15,9 @@
 
 __all__ = ["Borrowed", "Borrower"]
 
-SLOW_START_S = 10.0
-PROBE_AFTER_S = 2.0
-MAX_PROBE_AFTER_S = 8.0
+SLOW_START_DURATION_S = 10.0
+INITIAL_BACKOFF_S = 2.0
+MAX_BACKOFF_S = 8.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -35,16 +35,16 @@
     in_use: int = 0
     used_at: float = -1e18
     failures: int = 0
-    set_aside_until: float = -1e18
+    backoff_until: float = -1e18
 
-    def room(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """Return the slots that may still be taken."""
-        if now >= self.until or now < self.set_aside_until:
+        if now >= self.until or now < self.backoff_until:
             return 0
         allowed = self.loan.slots
         if self.failures:
             allowed = 1
-        elif now - self.since < SLOW_START_S:
+        elif now - self.since < SLOW_START_DURATION_S:
             allowed = max(1, round(allowed * (0.25 + (now - self.since) / 10.0)))
         return min(allowed, self.loan.slots) - self.in_use
 
@@ -54,8 +54,8 @@
     epoch: int = 0
     applied: int = 0
     number: int = 0
-    sent: dict[int, float] = dataclasses.field(default_factory=dict)
-    asked_at: float = -1e18
+    sent_at: dict[int, float] = dataclasses.field(default_factory=dict)
+    reported_at: float = -1e18
 
 
 class Borrower:
@@ -73,7 +73,7 @@
         """Endpoint name -> its loan, also after it ended while still in use."""
         return self._endpoints
 
-    def ask(
+    def report(
         self,
         shard: int,
         epoch: int,
@@ -90,20 +90,20 @@
             state.epoch = epoch
             state.applied = 0
         state.number += 1
-        state.asked_at = now
-        state.sent[state.number] = now
-        state.sent.pop(state.number - 16, None)
+        state.reported_at = now
+        state.sent_at[state.number] = now
+        state.sent_at.pop(state.number - 16, None)
         return LoansHeld(
             shard,
             state.epoch,
             state.number,
             state.applied,
             supports,
-            self._held(shard, now),
+            self._held_slots(shard, now),
             demand,
         )
 
-    def asks(
+    def due_reports(
         self, ownership: Ownership, demand: t.Callable[[], dict[str, int]], now: float
     ) -> list[Effect]:
         """Ask the owners of all shards for what is due.
@@ -111,21 +111,23 @@
         :param demand: slots wanted by service; counted only if somebody is asked.
         """
         effects: list[Effect] = []
-        wanted: dict[str, int] | None = None
+        current_demand: dict[str, int] | None = None
         log_is_stale = ownership.log_is_stale(now)
         for shard, state in ownership.shards.items():
-            if not state.epoch or not self.ask_due(
+            if not state.epoch or not self.is_report_due(
                 shard, state.epoch, log_is_stale, now
             ):
                 continue
-            if wanted is None:
-                wanted = demand()
+            if current_demand is None:
+                current_demand = demand()
             supports = ownership.grant_support(shard, now)
-            message = self.ask(shard, state.epoch, wanted, supports, now)
+            message = self.report(shard, state.epoch, current_demand, supports, now)
             effects.append(SendPeer(state.holder, message))
         return effects
 
-    def ask_due(self, shard: int, epoch: int, log_is_stale: bool, now: float) -> bool:
+    def is_report_due(
+        self, shard: int, epoch: int, log_is_stale: bool, now: float
+    ) -> bool:
         """Say whether the shard's owner should be asked now.
 
         :param blind: this process can't read the log at present.
@@ -133,12 +135,14 @@
         state = self._shards.get(shard)
         if state is None or epoch != state.epoch:
             return True
-        wait_s = (
-            self._parameters.ask_blind_s if log_is_stale else self._parameters.ask_s
+        interval_s = (
+            self._parameters.stale_log_report_interval_s
+            if log_is_stale
+            else self._parameters.report_interval_s
         )
-        return now - state.asked_at >= wait_s
+        return now - state.reported_at >= interval_s
 
-    def _held(self, shard: int, now: float) -> dict[str, int]:
+    def _held_slots(self, shard: int, now: float) -> dict[str, int]:
         held: dict[str, int] = {}
         for name, borrowed in self._endpoints.items():
             slots = borrowed.loan.slots if now < borrowed.until else 0
@@ -147,10 +151,10 @@
                 held[name] = slots
         return held
 
-    def granted(self, message: LoansGranted, now: float) -> bool:
+    def apply_grant(self, message: LoansGranted, now: float) -> bool:
         """Apply a grant; says whether it counted."""
         state = self._shards.setdefault(message.shard, _ShardLoans())
-        sent = state.sent.get(message.answers)
+        sent = state.sent_at.get(message.answers)
         if sent is None or message.epoch != state.epoch:
             return False
         if message.serial <= state.applied:
@@ -160,12 +164,12 @@
         granted = {loan.endpoint: loan for loan in message.loans}
         for name in [n for n, s in self._shard_of.items() if s == message.shard]:
             if name not in granted and message.complete:
-                self._shrink(name)
+                self._end_loan(name)
         for name, loan in granted.items():
-            self._extend(name, loan, message.shard, until, now)
+            self._update_loan(name, loan, message.shard, until, now)
         return True
 
-    def _shrink(self, name: str) -> None:
+    def _end_loan(self, name: str) -> None:
         borrowed = self._endpoints[name]
         borrowed.loan = Loan(name, borrowed.loan.service, borrowed.loan.address, 0)
         self._drop_unused(name)
@@ -181,7 +185,7 @@
         if not service:
             del self._services[borrowed.loan.service]
 
-    def _extend(
+    def _update_loan(
         self, name: str, loan: Loan, shard: int, until: float, now: float
     ) -> None:
         known = self._endpoints.get(name)
@@ -189,7 +193,7 @@
             known.loan = loan
             known.until = until
             return
-        since = now if self._services.get(loan.service) else now - SLOW_START_S
+        since = now if self._services.get(loan.service) else now - SLOW_START_DURATION_S
         borrowed = Borrowed(loan, until, since)
         self._endpoints[name] = borrowed
         self._shard_of[name] = shard
@@ -200,8 +204,8 @@
         best: tuple[float, float, str] | None = None
         usable = False
         for name, borrowed in self._services.get(service, {}).items():
-            usable = usable or now >= borrowed.set_aside_until
-            if name in avoid or borrowed.room(now) <= 0:
+            usable = usable or now >= borrowed.backoff_until
+            if name in avoid or borrowed.free_slots(now) <= 0:
                 continue
             load = (borrowed.in_use / borrowed.loan.slots, borrowed.used_at, name)
             if best is None or load < best:
@@ -215,30 +219,30 @@
 
         That all failed says more of this process than of the endpoints.
         """
-        idle = [
-            (borrowed.set_aside_until, name)
+        candidates = [
+            (borrowed.backoff_until, name)
             for name, borrowed in self._services.get(service, {}).items()
             if not borrowed.in_use and now < borrowed.until and name not in avoid
         ]
-        return min(idle)[1] if idle else None
+        return min(candidates)[1] if candidates else None
 
-    def take(self, endpoint: str, now: float) -> Borrowed:
+    def take_slot(self, endpoint: str, now: float) -> Borrowed:
         """Take one slot."""
         borrowed = self._endpoints[endpoint]
         borrowed.in_use += 1
         borrowed.used_at = now
         return borrowed
 
-    def give_back(self, endpoint: str, now: float, failed: bool) -> None:
+    def return_slot(self, endpoint: str, now: float, failed: bool) -> None:
         """Return a slot; a failure puts the endpoint aside for a while."""
         borrowed = self._endpoints.get(endpoint)
         if borrowed is None:
             return
         borrowed.in_use -= 1
         if failed:
-            wait = min(MAX_PROBE_AFTER_S, PROBE_AFTER_S * 2.0**borrowed.failures)
+            backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**borrowed.failures)
             borrowed.failures += 1
-            borrowed.set_aside_until = now + wait
+            borrowed.backoff_until = now + backoff_s
         else:
             borrowed.failures = 0
         self._drop_unused(endpoint)
--- a/src/granitetrestle/callpath.py
+++ b/src/granitetrestle/callpath.py
@@ -26,7 +26,7 @@
 from .errors import InvalidInput
 from .events import RequestArrived
 from .jobs import SERVICE_PATTERN
-from .keys import AHEAD_S
+from .keys import MAX_KEY_AHEAD_S
 from .outcomes import Answered
 from .outcomes import NotRun
 from .outcomes import Outcome
@@ -120,7 +120,7 @@
                 "send the time (seconds since 1970) at which the key was made",
             )
         wall = time.time()
-        if issued_at > wall + AHEAD_S:
+        if issued_at > wall + MAX_KEY_AHEAD_S:
             raise InvalidInput(
                 f"the key was made in the future (it is {wall:.3f} here)",
                 "set the caller's clock, or use the time of this answer",
--- a/src/granitetrestle/keys.py
+++ b/src/granitetrestle/keys.py
@@ -8,24 +8,24 @@
 __all__ = ["KeyLedger", "Verdict", "key_hall", "key_shard"]
 
 Verdict: t.TypeAlias = t.Literal["run", "seen", "too_old", "not_owner"]
-HORIZON_S = 600.0
+MAX_KEY_AGE_S = 600.0
 MAX_KEYS = 200_000
-AHEAD_S = 0.6
-PRUNE_EVERY_S = 30.0
+MAX_KEY_AHEAD_S = 0.6
+PRUNE_INTERVAL_S = 30.0
 
 
-def _score(*parts: str) -> int:
+def _hash(*parts: str) -> int:
     return zlib.crc32("\0".join(parts).encode())
 
 
 def key_hall(account: str, key: str, halls: t.Sequence[str]) -> str:
     """Return the data hall that decides on a key; the same everywhere."""
-    return max(sorted(halls), key=lambda hall: _score(hall, account, key))
+    return max(sorted(halls), key=lambda hall: _hash(hall, account, key))
 
 
 def key_shard(account: str, key: str, shards: int) -> int:
     """Return the shard whose owner decides on a key."""
-    return _score(account, key) % shards
+    return _hash(account, key) % shards
 
 
 class KeyLedger:
@@ -37,7 +37,7 @@
 
     def __init__(self, since_wall: float) -> None:
         self._since_wall = since_wall
-        self._prune_at = 0.0
+        self._next_prune_at = 0.0
         self._decided: dict[tuple[str, str], tuple[float, str]] = {}
 
     def __len__(self) -> int:
@@ -55,9 +55,9 @@
         """
         if (account, key) in self._decided:
             return "seen"
-        if issued_at <= max(self._since_wall, wall - HORIZON_S):
+        if issued_at <= max(self._since_wall, wall - MAX_KEY_AGE_S):
             return "too_old"
-        if issued_at > wall + AHEAD_S:
+        if issued_at > wall + MAX_KEY_AHEAD_S:
             # It would look newer than the next epoch, which could run it again.
             return "too_old"
         if len(self._decided) >= MAX_KEYS:
@@ -65,7 +65,7 @@
         self._decided[(account, key)] = (issued_at, request)
         return "run"
 
-    def returned(self, account: str, key: str, request: str) -> None:
+    def release(self, account: str, key: str, request: str) -> None:
         """Free a key whose one asker has proof that it did not run."""
         decided = self._decided.get((account, key))
         if decided is not None and decided[1] == request:
@@ -73,9 +73,9 @@
 
     def prune(self, wall: float) -> None:
         """Drop keys that the horizon alone now refuses, once in a while."""
-        if wall < self._prune_at:
+        if wall < self._next_prune_at:
             return
-        self._prune_at = wall + PRUNE_EVERY_S
+        self._next_prune_at = wall + PRUNE_INTERVAL_S
         for name, (issued_at, _) in list(self._decided.items()):
-            if issued_at <= wall - HORIZON_S:
+            if issued_at <= wall - MAX_KEY_AGE_S:
                 del self._decided[name]
--- a/src/granitetrestle/lending.py
+++ b/src/granitetrestle/lending.py
@@ -24,9 +24,9 @@
         also carry the promises that keep an owner in office.
     """
 
-    loan_s: float = 8.0
-    ask_s: float = 2.0
-    ask_blind_s: float = 0.5
+    loan_duration_s: float = 8.0
+    report_interval_s: float = 2.0
+    stale_log_report_interval_s: float = 0.5
 
 
 class Lendable(t.NamedTuple):
@@ -37,7 +37,7 @@
 
     info: EndpointInfo
     slots: int
-    ours: bool
+    of_current_epoch: bool
 
 
 class _Grant(t.NamedTuple):
@@ -47,19 +47,19 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Borrower:
+class _BorrowerState:
     """A borrower's last word and the grants it may not have seen yet."""
 
     number: int = 0
     serial: int = 0
-    asked_at: float = -1e18
+    reported_at: float = -1e18
     held: dict[str, int] = dataclasses.field(default_factory=dict)
     held_until: float = -1e18
     pending: list[_Grant] = dataclasses.field(default_factory=list)
-    sent: dict[int, float] = dataclasses.field(default_factory=dict)
+    sent_at: dict[int, float] = dataclasses.field(default_factory=dict)
     demand: dict[str, int] = dataclasses.field(default_factory=dict)
 
-    def may_use(self, endpoint: str, now: float) -> int:
+    def max_in_use(self, endpoint: str, now: float) -> int:
         """Return the most that the borrower may be using."""
         held = self.held.get(endpoint, 0) if self.held_until > now else 0
         sent = [g.loans.get(endpoint, 0) for g in self.pending if g.until > now]
@@ -80,16 +80,16 @@
         shard: int,
         epoch: int,
         nodes: t.Collection[str],
-        locked_until: float,
+        older_loans_end_at: float,
         parameters: LendingParameters,
     ) -> None:
         self._shard = shard
         self._epoch = epoch
-        self._unreported = set(nodes)
-        self._locked_until = locked_until
+        self._unreported_nodes = set(nodes)
+        self._older_loans_end_at = older_loans_end_at
         self._parameters = parameters
         self._lendable: dict[str, Lendable] = {}
-        self._borrowers: dict[tuple[str, str], _Borrower] = {}
+        self._borrowers: dict[tuple[str, str], _BorrowerState] = {}
 
     @property
     def lendable(self) -> t.Mapping[str, Lendable]:
@@ -100,21 +100,23 @@
         """Replace the endpoints that may be lent."""
         self._lendable = lendable
 
-    def older_owner_gone(self, now: float) -> None:
+    def shorten_older_loans(self, now: float) -> None:
         """Shorten the lock: nobody renews older loans any more."""
-        self._locked_until = min(self._locked_until, now + self._parameters.loan_s)
+        self._older_loans_end_at = min(
+            self._older_loans_end_at, now + self._parameters.loan_duration_s
+        )
 
     def outstanding(self, endpoint: str, now: float) -> int:
         """Return the slots of ``endpoint`` that borrowers may be using."""
-        return sum(b.may_use(endpoint, now) for b in self._borrowers.values())
+        return sum(b.max_in_use(endpoint, now) for b in self._borrowers.values())
 
-    def asked(
+    def grant_loans(
         self,
         node: str,
         incarnation: str,
         message: LoansHeld,
         now: float,
-        in_office: bool = True,
+        within_lease: bool = True,
         complete: bool = True,
     ) -> LoansGranted | None:
         """Take a borrower's report and return what it may use from now on.
@@ -125,14 +127,14 @@
         :returns: ``None`` for a message of another epoch, or a late or doubled
             one.
         """
-        borrower = self._borrowers.setdefault((node, incarnation), _Borrower())
+        borrower = self._borrowers.setdefault((node, incarnation), _BorrowerState())
         if message.epoch != self._epoch or message.number <= borrower.number:
             return None
-        self._note_report(borrower, message, now)
-        self._unreported.discard(node)
-        if not self._unreported:
-            self._locked_until = min(self._locked_until, now)
-        grant = self._grant(borrower, in_office, now)
+        self._record_report(borrower, message, now)
+        self._unreported_nodes.discard(node)
+        if not self._unreported_nodes:
+            self._older_loans_end_at = min(self._older_loans_end_at, now)
+        grant = self._grant(borrower, within_lease, now)
         borrower.pending.append(grant)
         loans = tuple(
             Loan(name, info.service, info.address, slots)
@@ -144,21 +146,23 @@
             self._epoch,
             grant.serial,
             message.number,
-            self._parameters.loan_s,
+            self._parameters.loan_duration_s,
             complete,
             loans,
         )
 
-    def _note_report(self, borrower: _Borrower, message: LoansHeld, now: float) -> None:
+    def _record_report(
+        self, borrower: _BorrowerState, message: LoansHeld, now: float
+    ) -> None:
         held = {
             name: slots
             for name, reported in message.loans.items()
-            if (slots := self._countable(borrower, name, reported, now))
+            if (slots := self._accepted_slots(borrower, name, reported, now))
         }
         borrower.held = held
-        borrower.held_until = now + self._parameters.loan_s
+        borrower.held_until = now + self._parameters.loan_duration_s
         borrower.number = message.number
-        borrower.asked_at = now
+        borrower.reported_at = now
         borrower.demand = message.demand
         borrower.pending = [
             grant
@@ -166,8 +170,8 @@
             if grant.serial > message.applied and grant.until > now
         ]
 
-    def _countable(
-        self, borrower: _Borrower, name: str, reported: int, now: float
+    def _accepted_slots(
+        self, borrower: _BorrowerState, name: str, reported: int, now: float
     ) -> int:
         """Return how much of a report counts; it may be late or from a lapsed loan.
 
@@ -176,10 +180,10 @@
         still hold.
         """
         entry = self._lendable.get(name)
-        older = entry is None or not entry.ours
-        if borrower.number == 0 and older and now < self._locked_until:
+        older = entry is None or not entry.of_current_epoch
+        if borrower.number == 0 and older and now < self._older_loans_end_at:
             return reported
-        return min(reported, borrower.may_use(name, now))
+        return min(reported, borrower.max_in_use(name, now))
 
     @property
     def epoch(self) -> int:
@@ -189,41 +193,45 @@
     def grant_sent_at(self, node: str, incarnation: str, serial: int) -> float | None:
         """Return when the grant that a borrower echoes was sent, if known."""
         borrower = self._borrowers.get((node, incarnation))
-        return borrower.sent.get(serial) if borrower is not None else None
+        return borrower.sent_at.get(serial) if borrower is not None else None
 
-    def _grant(self, borrower: _Borrower, in_office: bool, now: float) -> _Grant:
-        active = self._active(now)
+    def _grant(
+        self, borrower: _BorrowerState, within_lease: bool, now: float
+    ) -> _Grant:
+        active = self._active_borrowers(now)
         borrower.serial += 1
-        borrower.sent[borrower.serial] = now
-        borrower.sent.pop(borrower.serial - 16, None)
+        borrower.sent_at[borrower.serial] = now
+        borrower.sent_at.pop(borrower.serial - 16, None)
         loans: dict[str, int] = {}
         for name, entry in self._lendable.items():
             slots = min(
-                self._room(name, entry, borrower, in_office, now),
-                _fair_part(name, entry, borrower, active),
+                self._available_slots(name, entry, borrower, within_lease, now),
+                _fair_share(name, entry, borrower, active),
             )
             if slots > 0:
                 loans[name] = slots
-        return _Grant(borrower.serial, now + self._parameters.loan_s, loans)
+        return _Grant(borrower.serial, now + self._parameters.loan_duration_s, loans)
 
-    def _active(self, now: float) -> list[_Borrower]:
-        fresh = now - self._parameters.loan_s
+    def _active_borrowers(self, now: float) -> list[_BorrowerState]:
+        cutoff = now - self._parameters.loan_duration_s
         return [
             borrower
             for _, borrower in sorted(self._borrowers.items())
-            if borrower.asked_at > fresh
+            if borrower.reported_at > cutoff
         ]
 
-    def _room(
+    def _available_slots(
         self,
         name: str,
         entry: Lendable,
-        borrower: _Borrower,
-        in_office: bool,
+        borrower: _BorrowerState,
+        within_lease: bool,
         now: float,
     ) -> int:
-        own = borrower.may_use(name, now)
-        if not in_office or (not entry.ours and now < self._locked_until):
+        own = borrower.max_in_use(name, now)
+        if not within_lease or (
+            not entry.of_current_epoch and now < self._older_loans_end_at
+        ):
             return own
         return entry.slots - (self.outstanding(name, now) - own)
 
@@ -233,7 +241,7 @@
         :raises InvariantViolated: naming the endpoint (promise 1).
         """
         for name, entry in self._lendable.items():
-            if not entry.ours and now < self._locked_until:
+            if not entry.of_current_epoch and now < self._older_loans_end_at:
                 # Late reports of an older epoch's loans may overlap.
                 continue
             used = self.outstanding(name, now)
@@ -241,27 +249,27 @@
                 text = f"{used} of {entry.slots} slots of {name} are lent"
                 raise InvariantViolated(text)
 
-    def forget_silent(self, now: float) -> None:
+    def remove_silent_borrowers(self, now: float) -> None:
         """Drop borrowers whose every loan has lapsed."""
-        limit = now - 2 * self._parameters.loan_s
+        limit = now - 2 * self._parameters.loan_duration_s
         for key, borrower in list(self._borrowers.items()):
-            if borrower.asked_at < limit:
+            if borrower.reported_at < limit:
                 del self._borrowers[key]
 
 
-def _fair_part(
-    name: str, entry: Lendable, borrower: _Borrower, active: list[_Borrower]
+def _fair_share(
+    name: str, entry: Lendable, borrower: _BorrowerState, active: list[_BorrowerState]
 ) -> int:
     """Split an endpoint's slots by demand; odd slots rotate with the name."""
     service = entry.info.service
     weights = [1.0 + other.demand.get(service, 0) for other in active]
     exact = [entry.slots * weight / sum(weights) for weight in weights]
     parts = [int(share) for share in exact]
-    turn = sum(name.encode()) % len(active)
+    rotation = sum(name.encode()) % len(active)
     order = sorted(
         range(len(active)),
-        key=lambda i: (parts[i] - round(exact[i], 6), (i - turn) % len(active)),
+        key=lambda i: (parts[i] - round(exact[i], 6), (i - rotation) % len(active)),
     )
-    for lucky in order[: entry.slots - sum(parts)]:
-        parts[lucky] += 1
+    for rounded_up in order[: entry.slots - sum(parts)]:
+        parts[rounded_up] += 1
     return parts[next(i for i, other in enumerate(active) if other is borrower)]
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -225,7 +225,9 @@
             n for n in self._ownership.live_members(now) if n != self._setup.node
         ]
         effects += self._owner.tick(now, event.wall, successors)
-        effects += self._borrower.asks(self._ownership, self._requests.demand, now)
+        effects += self._borrower.due_reports(
+            self._ownership, self._requests.demand, now
+        )
         effects += self._send_digests(now, event.wall)
         effects += self._write_due_snapshots(now)
         self._ownership.remove_silent_members(now)
@@ -298,7 +300,7 @@
 
     def _restore_hall(self, state: HallState) -> list[Effect]:
         for shard in list(self._owner.placement.owned_shards):
-            self._owner.lost(shard)
+            self._owner.close_epoch(shard)
         self._jobs.restore(state.jobs)
         self._ownership.restore(state.shards)
         self._owner.placement.restore_drained(state.drained)
@@ -307,7 +309,7 @@
         # The state of shards held here was lost with the records skipped in the log,
         # so the shards are released to other owners.
         return [
-            self._owner.give_up(shard, self._ownership.shards[shard].epoch)
+            self._owner.release_after_gap(shard, self._ownership.shards[shard].epoch)
             for shard in self._ownership.owned()
         ]
 
@@ -424,15 +426,15 @@
         before = self._ownership.shards.get(fact.shard)
         if before is None or not self._ownership.apply_claim(offset, fact, now):
             return []
-        effects = self._owner.lost(fact.shard)
+        effects = self._owner.close_epoch(fact.shard)
         if fact.incarnation == self._setup.incarnation:
-            effects += self._owner.won(fact.shard, before, now, self._wall)
+            effects += self._owner.open_epoch(fact.shard, before, now, self._wall)
         return effects
 
     def _apply_release(self, offset: int, fact: ShardReleased) -> list[Effect]:
         if not self._ownership.apply_released(offset, fact):
             return []
-        return self._owner.lost(fact.shard)
+        return self._owner.close_epoch(fact.shard)
 
     def _peer_message(self, event: ev.PeerMessage) -> list[Effect]:
         message = event.message
@@ -444,7 +446,7 @@
                 self._halls.heard(event.sender, message, event.now)
                 return []
             case LoansGranted():
-                self._borrower.granted(message, event.now)
+                self._borrower.apply_grant(message, event.now)
                 return self._requests.serve_waiting(event.now)
             case KeyVerdict():
                 return self._requests.verdict(message, event.now)
@@ -464,7 +466,7 @@
         if isinstance(message, KeyAsked):
             answer = self._owner.decide_key(message, event.now, event.wall)
         else:
-            answer = self._owner.asked_for_loans(
+            answer = self._owner.grant_loans(
                 event.sender, event.incarnation, message, event.now
             )
         return [SendPeer(event.sender, answer)] if answer is not None else []
--- a/src/granitetrestle/requests.py
+++ b/src/granitetrestle/requests.py
@@ -194,7 +194,7 @@
 
     def _dispatch(self, pending: _Pending, endpoint: str, now: float) -> list[Effect]:
         event = pending.event
-        borrowed = self._borrower.take(endpoint, now)
+        borrowed = self._borrower.take_slot(endpoint, now)
         self._in_flight[event.account] = self._in_flight.get(event.account, 0) + 1
         pending.state = "sent"
         pending.serial += 1
@@ -303,7 +303,7 @@
         self._in_flight[account] -= 1
         if not self._in_flight[account]:
             del self._in_flight[account]
-        self._borrower.give_back(pending.endpoint, now, failed)
+        self._borrower.return_slot(pending.endpoint, now, failed)
 
     def failed(self, event: AnswerFailed) -> list[Effect]:
         """Retry what is proved not run or repeatable, else say what is known."""
--- a/src/granitetrestle/shards.py
+++ b/src/granitetrestle/shards.py
@@ -10,7 +10,7 @@
 from .events import Note
 from .jobs import Job
 from .jobs import Jobs
-from .keys import AHEAD_S as KEY_AHEAD_S
+from .keys import MAX_KEY_AHEAD_S as KEY_AHEAD_S
 from .keys import KeyLedger
 from .keys import key_shard
 from .lending import Lendable
@@ -34,7 +34,7 @@
 
 __all__ = ["ShardOwner"]
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 
 
 class ShardOwner:
@@ -44,8 +44,8 @@
         self,
         stream: str,
         shards: int,
-        placement_terms: PlacementParameters,
-        lending_terms: LendingParameters,
+        placement_parameters: PlacementParameters,
+        lending_parameters: LendingParameters,
         policy: Policy,
         table: Table,
         jobs: Jobs,
@@ -53,14 +53,16 @@
     ) -> None:
         self._stream = stream
         self._shards = shards
-        self._parameters = placement_terms
-        self._lending_terms = lending_terms
+        self._parameters = placement_parameters
+        self._lending_parameters = lending_parameters
         self._ownership = ownership
-        self._placement = Placement(stream, shards, placement_terms, jobs, ownership)
+        self._placement = Placement(
+            stream, shards, placement_parameters, jobs, ownership
+        )
         self._starter = TaskStarter(stream, shards, policy, table, jobs)
         self._lenders: dict[int, Lender] = {}
         self._keys: dict[int, KeyLedger] = {}
-        self._before: dict[int, ShardState] = {}
+        self._previous_states: dict[int, ShardState] = {}
         self._sweep_at = -1e18
         self._releasing: set[int] = set()
         self._released: set[int] = set()
@@ -75,35 +77,39 @@
         """Owned shard -> ledger of lent slots."""
         return self._lenders
 
-    def won(
-        self, shard: int, before: ShardState, now: float, wall: float
+    def open_epoch(
+        self, shard: int, previous: ShardState, now: float, wall: float
     ) -> list[Effect]:
         """Open all that goes with an epoch that this process won."""
-        effects = self._placement.open_shard(shard, before, now, wall)
+        effects = self._placement.open_shard(shard, previous, now, wall)
         epoch = self._ownership.shards[shard].epoch
-        locked = now
-        if before.epoch:
-            orphan = 0.0 if before.released else self._parameters.orphan_s
-            quiet = self._ownership.predecessor_quiesced_at(shard)
-            locked = quiet + orphan + self._lending_terms.loan_s
+        older_loans_end_at = now
+        if previous.epoch:
+            orphan_s = 0.0 if previous.released else self._parameters.orphan_s
+            quiesced_at = self._ownership.predecessor_quiesced_at(shard)
+            older_loans_end_at = (
+                quiesced_at + orphan_s + self._lending_parameters.loan_duration_s
+            )
         nodes = self._ownership.nodes
-        self._lenders[shard] = Lender(shard, epoch, nodes, locked, self._lending_terms)
+        self._lenders[shard] = Lender(
+            shard, epoch, nodes, older_loans_end_at, self._lending_parameters
+        )
         since = wall + KEY_AHEAD_S + self._parameters.clock_margin_s
-        since = since if before.epoch else 0.0
+        since = since if previous.epoch else 0.0
         self._keys[shard] = KeyLedger(since)
-        self._before[shard] = before
+        self._previous_states[shard] = previous
         self._releasing.discard(shard)
         self._released.discard(shard)
         return effects
 
-    def lost(self, shard: int) -> list[Effect]:
+    def close_epoch(self, shard: int) -> list[Effect]:
         """Close all that goes with an epoch that is over."""
         self._lenders.pop(shard, None)
         self._keys.pop(shard, None)
-        self._before.pop(shard, None)
+        self._previous_states.pop(shard, None)
         return self._placement.close_shard(shard)
 
-    def give_up(self, shard: int, epoch: int) -> Effect:
+    def release_after_gap(self, shard: int, epoch: int) -> Effect:
         """Release a shard whose books were lost with a gap in the log."""
         fact = ShardReleased(shard, epoch)
         return AppendFacts(self._stream, (fact,), f"release/{shard}")
@@ -113,17 +119,17 @@
         self._releasing |= set(self._ownership.owned())
 
     def _release(
-        self, owned: OwnedShard, heirs: t.Sequence[str], wall: float
+        self, owned: OwnedShard, successors: t.Sequence[str], wall: float
     ) -> list[Effect]:
         """Hand a shard over once no start of this process can still arrive."""
-        if owned.shard in self._released or not self._is_quiet(owned, wall):
+        if owned.shard in self._released or not self._is_quiesced(owned, wall):
             return []
         self._released.add(owned.shard)
-        heir = heirs[owned.shard % len(heirs)] if heirs else ""
-        fact = ShardReleased(owned.shard, owned.epoch, heir)
+        successor = successors[owned.shard % len(successors)] if successors else ""
+        fact = ShardReleased(owned.shard, owned.epoch, successor)
         return [AppendFacts(self._stream, (fact,), f"release/{owned.shard}")]
 
-    def _is_quiet(self, owned: OwnedShard, wall: float) -> bool:
+    def _is_quiesced(self, owned: OwnedShard, wall: float) -> bool:
         boxes = owned.index.boxes.values()
         if any(box.exchange_in_flight for box in boxes):
             return False
@@ -155,9 +161,9 @@
         """Free a key under which nothing ran."""
         shard = key_shard(message.account, message.key, self._shards)
         if shard in self._keys:
-            self._keys[shard].returned(message.account, message.key, message.request)
+            self._keys[shard].release(message.account, message.key, message.request)
 
-    def asked_for_loans(
+    def grant_loans(
         self, node: str, incarnation: str, message: LoansHeld, now: float
     ) -> LoansGranted | None:
         """Answer a borrower; its promise may prolong this owner's right."""
@@ -173,15 +179,19 @@
                 self._ownership.record_support(message.shard, node, since)
         if now > self._ownership.log_lease_ends_at() + self._parameters.orphan_s:
             return None
-        in_office = self._may_decide(message.shard, now)
+        within_lease = self._may_decide(message.shard, now)
         complete = owned.listed and not owned.unreconciled
-        return lender.asked(node, incarnation, message, now, in_office, complete)
+        return lender.grant_loans(
+            node, incarnation, message, now, within_lease, complete
+        )
 
     def box_answered(self, event: BoxAnswered) -> list[Effect]:
         """Take in a box's report."""
         return self._placement.box_answered(event)
 
-    def tick(self, now: float, wall: float, heirs: t.Sequence[str]) -> list[Effect]:
+    def tick(
+        self, now: float, wall: float, successors: t.Sequence[str]
+    ) -> list[Effect]:
         """Run a round of every owned shard.
 
         :param heirs: other live processes of the hall, for a planned stop.
@@ -189,14 +199,14 @@
         effects: list[Effect] = []
         sweep = now >= self._sweep_at
         if sweep:
-            self._sweep_at = now + SWEEP_S
+            self._sweep_at = now + SWEEP_INTERVAL_S
         for shard, owned in list(self._placement.owned_shards.items()):
             if sweep:
                 effects += self._sweep(shard, owned, now, wall)
             if self._may_decide(shard, now):
                 effects += self._starter.run_round(owned, now)
             if shard in self._releasing:
-                effects += self._release(owned, heirs, wall)
+                effects += self._release(owned, successors, wall)
             elif not owned.superseded:
                 effects += self._exchange(owned, sweep, now, wall)
         return effects
@@ -205,27 +215,27 @@
         self, shard: int, owned: OwnedShard, now: float, wall: float
     ) -> list[Effect]:
         """Look at every box and task; what can't wait is done on each tick."""
-        self._check_older_owner(shard, owned, now, wall)
+        self._check_previous_owner(shard, owned, now, wall)
         effects = self._placement.end_lapsed(owned, wall)
         effects += self._drain(owned, now)
-        self._lend(owned, now)
+        self._update_lendable(owned, now)
         self._keys[shard].prune(wall)
         return effects
 
-    def _check_older_owner(
+    def _check_previous_owner(
         self, shard: int, owned: OwnedShard, now: float, wall: float
     ) -> None:
-        before = self._before.get(shard)
-        if before is None or not before.epoch:
+        previous = self._previous_states.get(shard)
+        if previous is None or not previous.epoch:
             return
-        if not self._ownership.holder_was_replaced(before):
+        if not self._ownership.holder_was_replaced(previous):
             return
-        del self._before[shard]
+        del self._previous_states[shard]
         margin = self._parameters.lease_s + self._parameters.clock_margin_s
         owned.old_leases_expired_wall = min(
             owned.old_leases_expired_wall, wall + margin
         )
-        self._lenders[shard].older_owner_gone(now)
+        self._lenders[shard].shorten_older_loans(now)
 
     def _exchange(
         self, owned: OwnedShard, sweep: bool, now: float, wall: float
@@ -247,13 +257,13 @@
                 continue
             for assignment in box.tasks.values():
                 if assignment.state == "running":
-                    effects.append(self._begin_drain(assignment, owned.epoch))
+                    effects.append(self._start_drain(assignment, owned.epoch))
                 elif assignment.state == "draining":
                     self._finish_drain(owned, assignment, now)
         return effects
 
     @staticmethod
-    def _begin_drain(assignment: Assignment, epoch: int) -> Effect:
+    def _start_drain(assignment: Assignment, epoch: int) -> Effect:
         service = assignment.spec.kind == "service"
         assignment.state = "draining" if service else "evicting"
         assignment.stop_reason = "evicted"
@@ -267,7 +277,7 @@
         if not lender.outstanding(endpoint_name(assignment), now):
             assignment.state = "stopping"
 
-    def _lend(self, owned: OwnedShard, now: float) -> None:
+    def _update_lendable(self, owned: OwnedShard, now: float) -> None:
         lendable: dict[str, Lendable] = {}
         for box in owned.index.boxes.values():
             if box.drained or box.info.leaving:
@@ -279,11 +289,11 @@
                 info = EndpointInfo(
                     name, assignment.spec.service, box.info.endpoint_address
                 )
-                ours = assignment.epoch == owned.epoch
-                lendable[name] = Lendable(info, box.info.slots, ours)
+                of_current_epoch = assignment.epoch == owned.epoch
+                lendable[name] = Lendable(info, box.info.slots, of_current_epoch)
         lender = self._lenders[owned.shard]
         lender.set_lendable(lendable)
-        lender.forget_silent(now)
+        lender.remove_silent_borrowers(now)
         lender.check(now)
 
     def explain(self, job: Job) -> dict[str, str] | None:
--- a/tools/older_mutants.py
+++ b/tools/older_mutants.py
@@ -10,8 +10,8 @@
         (
             (
                 "borrowing.py",
-                "if now >= self.until or now < self.set_aside_until:",
-                "if now < self.set_aside_until:",
+                "if now >= self.until or now < self.backoff_until:",
+                "if now < self.backoff_until:",
             ),
             (
                 "requests.py",
@@ -81,7 +81,7 @@
         (
             (
                 "keys.py",
-                "if issued_at <= max(self._since_wall, wall - HORIZON_S):",
+                "if issued_at <= max(self._since_wall, wall - MAX_KEY_AGE_S):",
                 "if False:",
             ),
         ),
@@ -89,7 +89,7 @@
     ),
     Mutant(
         "6: keys from the future may run",
-        (("keys.py", "if issued_at > wall + AHEAD_S:", "if False:"),),
+        (("keys.py", "if issued_at > wall + MAX_KEY_AHEAD_S:", "if False:"),),
         "promise_6_keys_run_at_most_once",
     ),
     Mutant(
