--- a/src/granitetrestle/halls.py
+++ b/src/granitetrestle/halls.py
@@ -10,8 +10,8 @@
 
 __all__ = ["Halls", "KnownDigest"]
 
-DIGEST_S = 2.0
-STALE_S = 10.0
+DIGEST_INTERVAL_S = 2.0
+MAX_DIGEST_AGE_S = 10.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -19,7 +19,7 @@
     """A digest and the monotonic time at which it was first heard."""
 
     digest: HallDigest
-    heard_at: float
+    received_at: float
     sender: str
 
 
@@ -34,7 +34,7 @@
         self._hall = hall
         self._nodes = nodes
         self._known: dict[str, KnownDigest] = {}
-        self._turn = 0
+        self._rotation = 0
         self._sent_at = -1e18
         self._version = 0
 
@@ -43,23 +43,23 @@
         """Hall -> newest digest."""
         return self._known
 
-    def heard(self, sender: str, message: HallDigests, now: float) -> None:
+    def record_digests(self, sender: str, message: HallDigests, now: float) -> None:
         """Take newer digests over."""
         for digest in message.digests:
             known = self._known.get(digest.hall)
             if digest.hall == self._hall:
                 continue
-            if known is None or self._newer(digest, known, now):
+            if known is None or self._is_newer(digest, known, now):
                 self._known[digest.hall] = KnownDigest(digest, now, sender)
 
     @staticmethod
-    def _newer(digest: HallDigest, known: KnownDigest, now: float) -> bool:
+    def _is_newer(digest: HallDigest, known: KnownDigest, now: float) -> bool:
         # A hall that restarted whole counts from a wall-clock based version.
         return digest.version > known.digest.version
 
-    def due(self, now: float) -> bool:
+    def is_send_due(self, now: float) -> bool:
         """Say whether digests should be sent now."""
-        if now - self._sent_at < DIGEST_S:
+        if now - self._sent_at < DIGEST_INTERVAL_S:
             return False
         self._sent_at = now
         return True
@@ -69,45 +69,46 @@
         self._version = max(self._version + 1, int(wall * 10))
         return self._version
 
-    def all_with(self, own: HallDigest) -> HallDigests:
+    def with_own(self, own: HallDigest) -> HallDigests:
         """Return all digests, for the members of this hall."""
         others = tuple(known.digest for known in self._known.values())
         return HallDigests((own, *others))
 
-    def targets(self) -> list[str]:
+    def next_targets(self) -> list[str]:
         """Return one node of each other hall, a different one each time."""
-        self._turn += 1
+        self._rotation += 1
         return [
-            nodes[self._turn % len(nodes)]
+            nodes[self._rotation % len(nodes)]
             for hall, nodes in self._nodes.items()
             if hall != self._hall and nodes
         ]
 
-    def serving(self, service: str, now: float) -> list[str]:
+    def halls_serving(self, service: str, now: float) -> list[str]:
         """Return the halls that serve ``service``, with most slots first."""
         found = [
             (-known.digest.services[service], hall)
             for hall, known in self._known.items()
-            if service in known.digest.services and now - known.heard_at < STALE_S
+            if service in known.digest.services
+            and now - known.received_at < MAX_DIGEST_AGE_S
         ]
         return [hall for _, hall in sorted(found)]
 
     def reachable(self, hall: str, now: float) -> bool:
         """Say whether the hall was heard of lately."""
         known = self._known.get(hall)
-        return known is not None and now - known.heard_at < STALE_S
+        return known is not None and now - known.received_at < MAX_DIGEST_AGE_S
 
     def first_reachable(self, now: float) -> str:
         """Return the first hall by name that this one can reach, or itself."""
         halls = [hall for hall in self._known if self.reachable(hall, now)]
         return min([self._hall, *halls])
 
-    def node_in(self, hall: str, now: float, avoid: t.Container[str]) -> str | None:
+    def pick_node(self, hall: str, now: float, avoid: t.Container[str]) -> str | None:
         """Return a process of ``hall`` to send a request to."""
         known = self._known.get(hall)
         live = sorted(known.digest.nodes) if known is not None else []
         nodes = [n for n in live or self._nodes.get(hall, ()) if n not in avoid]
         if not nodes:
             return None
-        self._turn += 1
-        return nodes[self._turn % len(nodes)]
+        self._rotation += 1
+        return nodes[self._rotation % len(nodes)]
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -140,10 +140,10 @@
             ev.TableEditAsked: self._intake.table_edit,
             ev.BoxDrainAsked: self._intake.box_drain,
             ev.HallEvacuateAsked: self._intake.hall_evacuate,
-            ev.RequestArrived: self._requests.arrived,
-            ev.AnswerArrived: self._requests.answered,
-            ev.AnswerFailed: self._requests.failed,
-            ev.CallerLeft: self._requests.caller_left,
+            ev.RequestArrived: self._requests.admit,
+            ev.AnswerArrived: self._requests.apply_answer,
+            ev.AnswerFailed: self._requests.apply_failure,
+            ev.CallerLeft: self._requests.remove_abandoned,
             ev.StopAsked: self._stop,
         }
 
@@ -249,14 +249,14 @@
     def _send_digests(self, now: float, wall: float) -> list[Effect]:
         if self._ownership.aggregator(now) != self._setup.node:
             return []
-        if not self._halls.due(now):
+        if not self._halls.is_send_due(now):
             return []
         own = self._own_digest(wall)
         for_others = HallDigests((own,))
         effects: list[Effect] = [
-            SendPeer(node, for_others) for node in self._halls.targets()
+            SendPeer(node, for_others) for node in self._halls.next_targets()
         ]
-        everything = self._halls.all_with(own)
+        everything = self._halls.with_own(own)
         members = [n for n in self._ownership.members if n != self._setup.node]
         return effects + [SendPeer(node, everything) for node in sorted(members)]
 
@@ -443,15 +443,15 @@
                 self._heartbeat.collect(message.beat)
                 return []
             case HallDigests():
-                self._halls.heard(event.sender, message, event.now)
+                self._halls.record_digests(event.sender, message, event.now)
                 return []
             case LoansGranted():
                 self._borrower.apply_grant(message, event.now)
                 return self._requests.serve_waiting(event.now)
             case KeyVerdict():
-                return self._requests.verdict(message, event.now)
+                return self._requests.apply_verdict(message, event.now)
             case KeyReturned():
-                self._owner.key_returned(message)
+                self._owner.release_key(message)
                 return []
             case LoansHeld() | KeyAsked():
                 return self._answer_peer(event, message)
--- a/src/granitetrestle/requests.py
+++ b/src/granitetrestle/requests.py
@@ -33,15 +33,15 @@
 
 __all__ = ["RequestParameters", "Requests"]
 
-RETRY_SHARE = 0.1
-RETRY_BURST = 20.0
-SMOOTHING = 0.05
-FIRST_GUESS_S = 0.01
+RETRY_TOKENS_PER_REQUEST = 0.1
+MAX_RETRY_TOKENS = 20.0
+SERVICE_TIME_SMOOTHING_FACTOR = 0.05
+INITIAL_SERVICE_TIME_S = 0.01
 MIN_RETRY_AFTER_S = 0.05
 MAX_RETRY_AFTER_S = 30.0
-NO_ENDPOINT_RETRY_S = 1.0
+NO_ENDPOINT_RETRY_AFTER_S = 1.0
 MAX_HOPS = 2
-PEER_SHARE = 0.9
+PEER_DEADLINE_FACTOR = 0.9
 
 
 class RequestParameters(t.NamedTuple):
@@ -93,8 +93,8 @@
         self._queues: dict[str, FairQueue] = {}
         self._in_flight: dict[str, int] = {}
         self._deadlines: list[tuple[float, str]] = []
-        self._service_s: dict[str, float] = {}
-        self._retry_tokens = RETRY_BURST
+        self._mean_service_time_s: dict[str, float] = {}
+        self._retry_tokens = MAX_RETRY_TOKENS
         self._waiting = 0
         self._stopping = False
 
@@ -123,21 +123,23 @@
                 demand[service] = demand.get(service, 0) + borrowed.in_use
         return demand
 
-    def arrived(self, event: RequestArrived) -> list[Effect]:
+    def admit(self, event: RequestArrived) -> list[Effect]:
         """Admit, route, queue or refuse a request."""
         if self._stopping:
             return [_conclude(event.request, NotRun(Reason.STOPPING, 0.1))]
         if event.deadline <= event.now:
             return [_conclude(event.request, NotRun(Reason.DEADLINE, 0.0))]
-        self._retry_tokens = min(RETRY_BURST, self._retry_tokens + RETRY_SHARE)
+        self._retry_tokens = min(
+            MAX_RETRY_TOKENS, self._retry_tokens + RETRY_TOKENS_PER_REQUEST
+        )
         pending = _Pending(event, "waiting", key_granted=event.key_granted)
         self._pending[event.request] = pending
         heapq.heappush(self._deadlines, (event.deadline, event.request))
         if event.key and not event.key_granted:
-            return self._ask_for_key(pending, event.now)
+            return self._request_key(pending, event.now)
         return self._route(pending, event.now)
 
-    def _ask_for_key(self, pending: _Pending, now: float) -> list[Effect]:
+    def _request_key(self, pending: _Pending, now: float) -> list[Effect]:
         event = pending.event
         hall = key_hall(event.account, event.key, self._hall_names)
         if hall != self._hall:
@@ -146,7 +148,7 @@
         state = self._ownership.shards[shard]
         if not state.holder or state.released:
             return self._finish(
-                pending, NotRun(Reason.KEY_OWNER_MISSING, NO_ENDPOINT_RETRY_S)
+                pending, NotRun(Reason.KEY_OWNER_MISSING, NO_ENDPOINT_RETRY_AFTER_S)
             )
         pending.state = "key"
         ask = KeyAsked(event.request, event.account, event.key, event.issued_at)
@@ -154,15 +156,17 @@
 
     def _forward_key(self, pending: _Pending, hall: str, now: float) -> list[Effect]:
         reason = Reason.HALL_UNREACHABLE
-        refusal = NotRun(reason, NO_ENDPOINT_RETRY_S, f"the key belongs to {hall}")
+        refusal = NotRun(
+            reason, NO_ENDPOINT_RETRY_AFTER_S, f"the key belongs to {hall}"
+        )
         if pending.event.hops or not self._halls.reachable(hall, now):
             return self._finish(pending, refusal)
-        node = self._halls.node_in(hall, now, pending.tried)
+        node = self._halls.pick_node(hall, now, pending.tried)
         if node is None:
             return self._finish(pending, refusal)
         return self._forward(pending, node, now)
 
-    def verdict(self, message: KeyVerdict, now: float) -> list[Effect]:
+    def apply_verdict(self, message: KeyVerdict, now: float) -> list[Effect]:
         """Go on with a request whose key was decided."""
         pending = self._pending.get(message.request)
         if pending is None or pending.state != "key":
@@ -172,7 +176,7 @@
             pending.state = "waiting"
             return self._route(pending, now)
         if message.verdict == "not_owner":
-            missing = NotRun(Reason.KEY_OWNER_MISSING, NO_ENDPOINT_RETRY_S)
+            missing = NotRun(Reason.KEY_OWNER_MISSING, NO_ENDPOINT_RETRY_AFTER_S)
             return self._finish(pending, missing)
         reason = Reason.KEY_SEEN if message.verdict == "seen" else Reason.KEY_TOO_OLD
         return self._finish(pending, Unknown(reason))
@@ -180,15 +184,15 @@
     def _route(self, pending: _Pending, now: float) -> list[Effect]:
         event = pending.event
         queue = self._queues.get(event.service)
-        if not queue and self._account_allows(event.account):
+        if not queue and self._below_account_limit(event.account):
             endpoint = self._borrower.pick(event.service, now, pending.tried)
             if endpoint is not None:
                 return self._dispatch(pending, endpoint, now)
         if not self._borrower.slots(event.service, now):
-            return self._elsewhere(pending, now)
-        return self._wait(pending, now)
+            return self._forward_to_other_hall(pending, now)
+        return self._enqueue(pending, now)
 
-    def _account_allows(self, account: str) -> bool:
+    def _below_account_limit(self, account: str) -> bool:
         limit = self._table.number(account, "max_in_flight")
         return self._in_flight.get(account, 0) < limit
 
@@ -211,13 +215,13 @@
             )
         ]
 
-    def _elsewhere(self, pending: _Pending, now: float) -> list[Effect]:
+    def _forward_to_other_hall(self, pending: _Pending, now: float) -> list[Effect]:
         event = pending.event
-        refusal = NotRun(Reason.NO_ENDPOINT, NO_ENDPOINT_RETRY_S)
+        refusal = NotRun(Reason.NO_ENDPOINT, NO_ENDPOINT_RETRY_AFTER_S)
         if event.hops >= MAX_HOPS:
             return self._finish(pending, refusal)
-        for hall in self._halls.serving(event.service, now):
-            node = self._halls.node_in(hall, now, pending.tried)
+        for hall in self._halls.halls_serving(event.service, now):
+            node = self._halls.pick_node(hall, now, pending.tried)
             if node is not None:
                 return self._forward(pending, node, now)
         return self._finish(pending, refusal)
@@ -233,13 +237,13 @@
                 pending.serial,
                 node,
                 event.deadline,
-                now + PEER_SHARE * (event.deadline - now),
+                now + PEER_DEADLINE_FACTOR * (event.deadline - now),
                 event.hops + 1,
                 pending.key_granted,
             )
         ]
 
-    def _wait(self, pending: _Pending, now: float) -> list[Effect]:
+    def _enqueue(self, pending: _Pending, now: float) -> list[Effect]:
         event = pending.event
         queue = self._queues.setdefault(event.service, FairQueue())
         wait_s = self._expected_wait(queue, event, now)
@@ -266,37 +270,39 @@
     ) -> float:
         slots = max(1, self._borrower.slots(event.service, now))
         ahead = queue.requests_ahead(event.account, self._weight)
-        mean_s = self._service_s.get(event.service, FIRST_GUESS_S)
+        mean_s = self._mean_service_time_s.get(event.service, INITIAL_SERVICE_TIME_S)
         return (ahead + 1.0) * mean_s / slots
 
     def _weight(self, account: str) -> float:
         return self._table.number(account, "weight")
 
-    def answered(self, event: AnswerArrived) -> list[Effect]:
+    def apply_answer(self, event: AnswerArrived) -> list[Effect]:
         """Pass a whole answer on; late and doubled ones are dropped."""
-        pending = self._current(event.request, event.serial)
+        pending = self._pending_attempt(event.request, event.serial)
         if pending is None:
             return []
         if pending.state == "sent":
-            self._observe(pending, event.now)
+            self._observe_service_time(pending, event.now)
         endpoint = pending.endpoint
-        self._give_back(pending, event.now, failed=False)
+        self._return_slot(pending, event.now, failed=False)
         effects = self._finish(pending, Answered(endpoint))
         return effects + self.serve_waiting(event.now)
 
-    def _observe(self, pending: _Pending, now: float) -> None:
+    def _observe_service_time(self, pending: _Pending, now: float) -> None:
         service = pending.event.service
-        took = now - pending.sent_at
-        mean = self._service_s.get(service, took)
-        self._service_s[service] = mean + SMOOTHING * (took - mean)
+        service_time_s = now - pending.sent_at
+        mean_s = self._mean_service_time_s.get(service, service_time_s)
+        self._mean_service_time_s[service] = mean_s + SERVICE_TIME_SMOOTHING_FACTOR * (
+            service_time_s - mean_s
+        )
 
-    def _current(self, request: str, serial: int) -> _Pending | None:
+    def _pending_attempt(self, request: str, serial: int) -> _Pending | None:
         pending = self._pending.get(request)
         if pending is None or pending.serial != serial:
             return None
         return pending if pending.state in ("sent", "forwarded") else None
 
-    def _give_back(self, pending: _Pending, now: float, failed: bool) -> None:
+    def _return_slot(self, pending: _Pending, now: float, failed: bool) -> None:
         if pending.state != "sent":
             return
         account = pending.event.account
@@ -305,13 +311,13 @@
             del self._in_flight[account]
         self._borrower.return_slot(pending.endpoint, now, failed)
 
-    def failed(self, event: AnswerFailed) -> list[Effect]:
+    def apply_failure(self, event: AnswerFailed) -> list[Effect]:
         """Retry what is proved not run or repeatable, else say what is known."""
-        pending = self._current(event.request, event.serial)
+        pending = self._pending_attempt(event.request, event.serial)
         if pending is None:
             return []
         refused = not event.proof.may_have_run
-        self._give_back(pending, event.now, failed=True)
+        self._return_slot(pending, event.now, failed=True)
         pending.tried.add(pending.endpoint)
         pending.may_have_run |= event.proof.may_have_run
         if self._may_retry(pending, refused, event.now):
@@ -335,15 +341,15 @@
     def _retry(self, pending: _Pending, now: float) -> list[Effect]:
         event = pending.event
         if event.key and not pending.key_granted:
-            return self._ask_for_key(pending, now)
+            return self._request_key(pending, now)
         return self._route(pending, now)
 
-    def caller_left(self, event: CallerLeft) -> list[Effect]:
+    def remove_abandoned(self, event: CallerLeft) -> list[Effect]:
         """Free all that a request held whose caller hung up."""
         pending = self._pending.get(event.request)
         if pending is None:
             return []
-        self._give_back(pending, event.now, failed=False)
+        self._return_slot(pending, event.now, failed=False)
         self._drop(pending)
         return self.serve_waiting(event.now)
 
@@ -355,7 +361,7 @@
                 endpoint = self._borrower.pick(service, now, ())
                 if endpoint is None:
                     break
-                request = queue.pop(self._weight, self._account_allows)
+                request = queue.pop(self._weight, self._below_account_limit)
                 if request is None:
                     break
                 self._waiting -= 1
@@ -372,7 +378,9 @@
             pending = self._pending.get(request)
             # What was sent is ended by its adapter, which knows what left.
             if pending is not None and pending.state in ("key", "waiting"):
-                wait_s = self._service_s.get(pending.event.service, FIRST_GUESS_S)
+                wait_s = self._mean_service_time_s.get(
+                    pending.event.service, INITIAL_SERVICE_TIME_S
+                )
                 late = NotRun(Reason.DEADLINE, _retry_after(wait_s))
                 effects += self._finish(pending, late)
         return effects + self.serve_waiting(now)
--- a/src/granitetrestle/shards.py
+++ b/src/granitetrestle/shards.py
@@ -157,7 +157,7 @@
         )
         return KeyVerdict(message.request, verdict)
 
-    def key_returned(self, message: KeyReturned) -> None:
+    def release_key(self, message: KeyReturned) -> None:
         """Free a key under which nothing ran."""
         shard = key_shard(message.account, message.key, self._shards)
         if shard in self._keys:
--- a/src/granitetrestle/views.py
+++ b/src/granitetrestle/views.py
@@ -173,7 +173,9 @@
         names |= known.digest.services.keys()
     return [
         ServiceView(
-            name, reducer.borrower.slots(name, now), reducer.halls.serving(name, now)
+            name,
+            reducer.borrower.slots(name, now),
+            reducer.halls.halls_serving(name, now),
         )
         for name in sorted(names)
     ]
