--- a/src/granitetrestle/borrowing.py
+++ b/src/granitetrestle/borrowing.py
@@ -1,6 +1,8 @@
-"""The entry's side of lent slots: which endpoints this process may use now, how
-many slots of each are taken, and which one a request should go to. A loan ends
-by this process's own monotonic clock, counted from before it asked."""
+"""Loans of endpoint slots, as the entry process that borrows them keeps them.
+
+Tracks which endpoints this process may use, how many slots of each are in use,
+and which endpoint a request should go to. A loan ends by this process's own
+monotonic clock, counted from before it sent the report that was answered."""
 
 import dataclasses
 import typing as t
@@ -22,11 +24,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Borrowed:
-    """One endpoint as this process sees it.
+    """One endpoint with its loan to this process.
 
-    :param since: monotonic time of its first loan, for a slow start.
-    :param set_aside_until: monotonic time before which it is not used, having
-        failed or refused.
+    :param until: monotonic time at which the loan ends.
+    :param since: monotonic time of its first loan, for the slow start.
+    :param backoff_until: monotonic time before which it is not used, since it
+        failed or refused a request.
     """
 
     loan: Loan
@@ -38,7 +41,11 @@
     backoff_until: float = -1e18
 
     def free_slots(self, now: float) -> int:
-        """Return the slots that may still be taken."""
+        """Return the slots that may still be taken.
+
+        A slow start limits a new endpoint, and one slot at a time is allowed
+        after a failure.
+        """
         if now >= self.until or now < self.backoff_until:
             return 0
         allowed = self.loan.slots
@@ -70,7 +77,7 @@
 
     @property
     def endpoints(self) -> t.Mapping[str, Borrowed]:
-        """Endpoint name -> its loan, also after it ended while still in use."""
+        """Endpoint name -> its loan, which is kept after its end while in use."""
         return self._endpoints
 
     def report(
@@ -83,7 +90,7 @@
     ) -> LoansHeld:
         """Return the next message to the shard's owner.
 
-        From here on no grant of an epoch before ``epoch`` is taken.
+        From here on grants of epochs before ``epoch`` are ignored.
         """
         state = self._shards.setdefault(shard, _ShardLoans())
         if epoch > state.epoch:
@@ -106,9 +113,10 @@
     def due_reports(
         self, ownership: Ownership, demand: t.Callable[[], dict[str, int]], now: float
     ) -> list[Effect]:
-        """Ask the owners of all shards for what is due.
+        """Return the reports that are due to the owners of all shards.
 
-        :param demand: slots wanted by service; counted only if somebody is asked.
+        :param demand: returns service -> slots wanted; called only if a report
+            is due.
         """
         effects: list[Effect] = []
         current_demand: dict[str, int] | None = None
@@ -128,7 +136,7 @@
     def is_report_due(
         self, shard: int, epoch: int, log_is_stale: bool, now: float
     ) -> bool:
-        """Say whether the shard's owner should be asked now.
+        """Return whether a report to the shard's owner is due.
 
         :param blind: this process can't read the log at present.
         """
@@ -152,7 +160,10 @@
         return held
 
     def apply_grant(self, message: LoansGranted, now: float) -> bool:
-        """Apply a grant; says whether it counted."""
+        """Apply a grant.
+
+        :returns: whether it was new, of the current epoch, and took effect.
+        """
         state = self._shards.setdefault(message.shard, _ShardLoans())
         sent = state.sent_at.get(message.answers)
         if sent is None or message.epoch != state.epoch:
@@ -200,7 +211,11 @@
         self._services.setdefault(loan.service, {})[name] = borrowed
 
     def pick(self, service: str, now: float, avoid: t.Container[str]) -> str | None:
-        """Return the endpoint with the largest free part of its loan."""
+        """Return the endpoint with the smallest part of its loan in use.
+
+        Ties go to the one that was used least recently. If all endpoints are in
+        backoff, one of them is probed.
+        """
         best: tuple[float, float, str] | None = None
         usable = False
         for name, borrowed in self._services.get(service, {}).items():
@@ -215,9 +230,10 @@
         return None if usable else self._probe(service, now, avoid)
 
     def _probe(self, service: str, now: float, avoid: t.Container[str]) -> str | None:
-        """Return the endpoint set aside longest, when all of them are.
+        """Return the endpoint whose backoff ends first, when all are in backoff.
 
-        That all failed says more of this process than of the endpoints.
+        If all endpoints failed, the cause is more likely in this process than
+        in the endpoints.
         """
         candidates = [
             (borrowed.backoff_until, name)
@@ -227,14 +243,14 @@
         return min(candidates)[1] if candidates else None
 
     def take_slot(self, endpoint: str, now: float) -> Borrowed:
-        """Take one slot."""
+        """Take one slot of an endpoint."""
         borrowed = self._endpoints[endpoint]
         borrowed.in_use += 1
         borrowed.used_at = now
         return borrowed
 
     def return_slot(self, endpoint: str, now: float, failed: bool) -> None:
-        """Return a slot; a failure puts the endpoint aside for a while."""
+        """Return a slot; a failure starts or extends the endpoint's backoff."""
         borrowed = self._endpoints.get(endpoint)
         if borrowed is None:
             return
@@ -253,5 +269,5 @@
         return sum(b.loan.slots for b in borrowed if b.until > now)
 
     def services(self) -> list[str]:
-        """Return the services with a loan here."""
+        """Return the services of the endpoints that are lent to this process."""
         return list(self._services)
--- a/src/granitetrestle/halls.py
+++ b/src/granitetrestle/halls.py
@@ -1,6 +1,8 @@
-"""What this process knows of the other data halls: a brief digest of each,
-passed between the halls' gatherers and from them to their hall's members. A
-digest is advice for routing and status; no promise rests on it."""
+"""Digests of the other data halls' state.
+
+The aggregators of the halls exchange digests and send them on to the members of
+their own hall. A digest is only a hint for routing and status: no guarantee
+depends on it."""
 
 import dataclasses
 import typing as t
@@ -16,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True)
 class KnownDigest:
-    """A digest and the monotonic time at which it was first heard."""
+    """A digest and the monotonic time at which it was first received."""
 
     digest: HallDigest
     received_at: float
@@ -24,7 +26,7 @@
 
 
 class Halls:
-    """Newest digest of each hall.
+    """The newest digest of each other hall.
 
     :param hall: this process's hall.
     :param nodes: hall -> nodes, from the settings.
@@ -44,7 +46,7 @@
         return self._known
 
     def record_digests(self, sender: str, message: HallDigests, now: float) -> None:
-        """Take newer digests over."""
+        """Store the digests that are newer than the known ones."""
         for digest in message.digests:
             known = self._known.get(digest.hall)
             if digest.hall == self._hall:
@@ -54,28 +56,31 @@
 
     @staticmethod
     def _is_newer(digest: HallDigest, known: KnownDigest, now: float) -> bool:
-        # A hall that restarted whole counts from a wall-clock based version.
+        # Versions follow the wall clock, so they grow also when a whole hall restarts.
         return digest.version > known.digest.version
 
     def is_send_due(self, now: float) -> bool:
-        """Say whether digests should be sent now."""
+        """Return whether digests should be sent now, and count them as sent if so."""
         if now - self._sent_at < DIGEST_INTERVAL_S:
             return False
         self._sent_at = now
         return True
 
     def next_version(self, wall: float) -> int:
-        """Return a version above all earlier ones of this hall."""
+        """Return a digest version above all earlier ones of this hall.
+
+        :param wall: wall time in seconds.
+        """
         self._version = max(self._version + 1, int(wall * 10))
         return self._version
 
     def with_own(self, own: HallDigest) -> HallDigests:
-        """Return all digests, for the members of this hall."""
+        """Return ``own`` and all other digests, for the members of this hall."""
         others = tuple(known.digest for known in self._known.values())
         return HallDigests((own, *others))
 
     def next_targets(self) -> list[str]:
-        """Return one node of each other hall, a different one each time."""
+        """Return one node of each other hall, in rotation."""
         self._rotation += 1
         return [
             nodes[self._rotation % len(nodes)]
@@ -84,7 +89,7 @@
         ]
 
     def halls_serving(self, service: str, now: float) -> list[str]:
-        """Return the halls that serve ``service``, with most slots first."""
+        """Return the halls that serve ``service``, those with most slots first."""
         found = [
             (-known.digest.services[service], hall)
             for hall, known in self._known.items()
@@ -94,17 +99,22 @@
         return [hall for _, hall in sorted(found)]
 
     def reachable(self, hall: str, now: float) -> bool:
-        """Say whether the hall was heard of lately."""
+        """Return whether the hall's digest is at most ``MAX_DIGEST_AGE_S`` old."""
         known = self._known.get(hall)
         return known is not None and now - known.received_at < MAX_DIGEST_AGE_S
 
     def first_reachable(self, now: float) -> str:
-        """Return the first hall by name that this one can reach, or itself."""
+        """Return the first by name of this hall and the reachable ones."""
         halls = [hall for hall in self._known if self.reachable(hall, now)]
         return min([self._hall, *halls])
 
     def pick_node(self, hall: str, now: float, avoid: t.Container[str]) -> str | None:
-        """Return a process of ``hall`` to send a request to."""
+        """Return a process of ``hall`` to send a request to, in rotation.
+
+        Prefers the live processes of its digest to those of the settings.
+
+        :param avoid: processes that are not returned.
+        """
         known = self._known.get(hall)
         live = sorted(known.digest.nodes) if known is not None else []
         nodes = [n for n in live or self._nodes.get(hall, ()) if n not in avoid]
--- a/src/granitetrestle/keys.py
+++ b/src/granitetrestle/keys.py
@@ -1,6 +1,7 @@
-"""Keys of requests that must not be repeated. One process per epoch decides on a
-key, and says ``run`` to exactly one asker; what an earlier epoch may have let
-run is answered as too old, never run (promise 6)."""
+"""Decisions on the keys of requests that must run at most once (promise 6).
+
+In each epoch one process decides on a key, and answers ``run`` to exactly one
+request. A key that an earlier epoch may have granted is answered ``too_old``."""
 
 import typing as t
 import zlib
@@ -19,7 +20,7 @@
 
 
 def key_hall(account: str, key: str, halls: t.Sequence[str]) -> str:
-    """Return the data hall that decides on a key; the same everywhere."""
+    """Return the data hall that decides on a key; every process finds the same."""
     return max(sorted(halls), key=lambda hall: _hash(hall, account, key))
 
 
@@ -29,7 +30,7 @@
 
 
 class KeyLedger:
-    """Decisions of one epoch.
+    """Decisions on keys in one epoch.
 
     :param since_wall: wall time (s) before which keys may have been decided by
         an earlier epoch; includes the clock margin.
@@ -46,19 +47,19 @@
     def decide(
         self, account: str, key: str, issued_at: float, wall: float, request: str
     ) -> Verdict:
-        """Decide on a key, once.
+        """Decide whether a request with a key may run.
 
         :param issued_at: wall time (s) at which the caller made the key.
-        :returns: ``run`` the first time, then ``seen``; ``too_old`` for keys
-            from before this epoch, beyond the horizon or from the future;
-            ``not_owner`` when the ledger is full.
+        :returns: ``run`` the first time, then ``seen``; ``too_old`` for keys from
+            before this epoch, older than ``MAX_KEY_AGE_S`` or too far in the
+            future; ``not_owner`` when the ledger is full.
         """
         if (account, key) in self._decided:
             return "seen"
         if issued_at <= max(self._since_wall, wall - MAX_KEY_AGE_S):
             return "too_old"
         if issued_at > wall + MAX_KEY_AHEAD_S:
-            # It would look newer than the next epoch, which could run it again.
+            # It would look newer than the next epoch, which could grant it again.
             return "too_old"
         if len(self._decided) >= MAX_KEYS:
             return "not_owner"
@@ -66,13 +67,13 @@
         return "run"
 
     def release(self, account: str, key: str, request: str) -> None:
-        """Free a key whose one asker has proof that it did not run."""
+        """Free a key whose request was granted but provably did not run."""
         decided = self._decided.get((account, key))
         if decided is not None and decided[1] == request:
             del self._decided[(account, key)]
 
     def prune(self, wall: float) -> None:
-        """Drop keys that the horizon alone now refuses, once in a while."""
+        """Remove keys that are refused by their age alone, once per interval."""
         if wall < self._next_prune_at:
             return
         self._next_prune_at = wall + PRUNE_INTERVAL_S
--- a/src/granitetrestle/lending.py
+++ b/src/granitetrestle/lending.py
@@ -1,7 +1,10 @@
-"""Slots of endpoints, lent by the shard's owner to the entry processes with a
-term, so that what all of them together may use never passes what an endpoint
-has. The owner counts a loan until its term ends or the borrower says that it
-holds less; the borrower counts the term from before it asked."""
+"""Loans of endpoint slots by a shard's owner to the entry processes.
+
+A loan lets one entry process use some slots of an endpoint for a limited time,
+so that all entry processes together never use more slots than it has. The owner
+counts a loan until it expires or the borrower reports that it holds less. The
+borrower counts the duration from before it sent its report, so a loan expires
+at the borrower first."""
 
 import dataclasses
 import typing as t
@@ -18,10 +21,10 @@
 class LendingParameters(t.NamedTuple):
     """Durations in seconds.
 
-    :param loan_s: how long a loan holds after the borrower asked.
-    :param ask_s: time between two askings of a borrower.
-    :param ask_blind_s: the same while the log can't be read, when the answers
-        also carry the promises that keep an owner in office.
+    :param loan_duration_s: how long a loan lasts after the borrower's report.
+    :param report_interval_s: time between two reports of a borrower.
+    :param stale_log_report_interval_s: the same while the log can't be read;
+        the reports then also carry the support that extends an owner's lease.
     """
 
     loan_duration_s: float = 8.0
@@ -32,7 +35,8 @@
 class Lendable(t.NamedTuple):
     """An endpoint with its slots.
 
-    :param ours: started under the current epoch, so no older loan exists.
+    :param of_current_epoch: started under the current epoch, so that no loan of
+        an older epoch exists.
     """
 
     info: EndpointInfo
@@ -48,7 +52,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _BorrowerState:
-    """A borrower's last word and the grants it may not have seen yet."""
+    """A borrower's last report and the grants that it may not have applied yet."""
 
     number: int = 0
     serial: int = 0
@@ -60,19 +64,19 @@
     demand: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def max_in_use(self, endpoint: str, now: float) -> int:
-        """Return the most that the borrower may be using."""
+        """Return an upper bound of the slots that the borrower uses."""
         held = self.held.get(endpoint, 0) if self.held_until > now else 0
         sent = [g.loans.get(endpoint, 0) for g in self.pending if g.until > now]
         return max([held, *sent])
 
 
 class Lender:
-    """The owner's ledger of one shard.
+    """The owner's ledger of the loans of one shard.
 
-    :param nodes: every process of the hall; when all of them have reported, no
-        loan of an older epoch is unknown any more.
-    :param locked_until: monotonic time until which loans of an older epoch that
-        nobody has reported may still be in use.
+    :param nodes: every process of the hall; once all of them have reported, all
+        loans of older epochs are known.
+    :param older_loans_end_at: monotonic time until which unreported loans of an
+        older epoch may still be in use.
     """
 
     def __init__(
@@ -93,7 +97,7 @@
 
     @property
     def lendable(self) -> t.Mapping[str, Lendable]:
-        """Endpoint name -> what may be lent of it."""
+        """Endpoint name -> endpoint whose slots may be lent."""
         return self._lendable
 
     def set_lendable(self, lendable: dict[str, Lendable]) -> None:
@@ -101,13 +105,13 @@
         self._lendable = lendable
 
     def shorten_older_loans(self, now: float) -> None:
-        """Shorten the lock: nobody renews older loans any more."""
+        """Expect older loans to end within one duration: nobody renews them now."""
         self._older_loans_end_at = min(
             self._older_loans_end_at, now + self._parameters.loan_duration_s
         )
 
     def outstanding(self, endpoint: str, now: float) -> int:
-        """Return the slots of ``endpoint`` that borrowers may be using."""
+        """Return an upper bound of the slots of ``endpoint`` in use by borrowers."""
         return sum(b.max_in_use(endpoint, now) for b in self._borrowers.values())
 
     def grant_loans(
@@ -119,12 +123,13 @@
         within_lease: bool = True,
         complete: bool = True,
     ) -> LoansGranted | None:
-        """Take a borrower's report and return what it may use from now on.
+        """Apply a borrower's report and return what it may use from now on.
 
-        :param in_office: within the owner's term; past it loans are prolonged
-            but none is moved, since a successor may be prolonging them too.
-        :param complete: every box of the shard has shown its endpoints.
-        :returns: ``None`` for a message of another epoch, or a late or doubled
+        :param within_lease: the owner's lease is valid. After its end loans are
+            extended but not moved between borrowers, since a successor may be
+            extending them too.
+        :param complete: every box of the shard has reported its endpoints.
+        :returns: ``None`` for a message of another epoch, or a late or duplicate
             one.
         """
         borrower = self._borrowers.setdefault((node, incarnation), _BorrowerState())
@@ -173,11 +178,11 @@
     def _accepted_slots(
         self, borrower: _BorrowerState, name: str, reported: int, now: float
     ) -> int:
-        """Return how much of a report counts; it may be late or from a lapsed loan.
+        """Return how many reported slots to accept.
 
-        A report can only lower what this epoch lent. Only the first one of a
-        borrower can tell of loans of an older epoch, and only while those can
-        still hold.
+        A report may be late or name an expired loan, so it can only lower what
+        this epoch lent. Only the first report of a borrower can add loans of an
+        older epoch, and only while those may still be in use.
         """
         entry = self._lendable.get(name)
         older = entry is None or not entry.of_current_epoch
@@ -187,11 +192,11 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch under which this ledger lends."""
+        """The epoch of this ledger's loans."""
         return self._epoch
 
     def grant_sent_at(self, node: str, incarnation: str, serial: int) -> float | None:
-        """Return when the grant that a borrower echoes was sent, if known."""
+        """Return when grant ``serial`` was sent to a borrower, or ``None``."""
         borrower = self._borrowers.get((node, incarnation))
         return borrower.sent_at.get(serial) if borrower is not None else None
 
@@ -238,7 +243,7 @@
     def check(self, now: float) -> None:
         """Assert that no endpoint is lent beyond its slots.
 
-        :raises InvariantViolated: naming the endpoint (promise 1).
+        :raises InvariantViolated: if one is; names the endpoint (promise 1).
         """
         for name, entry in self._lendable.items():
             if not entry.of_current_epoch and now < self._older_loans_end_at:
@@ -250,7 +255,7 @@
                 raise InvariantViolated(text)
 
     def remove_silent_borrowers(self, now: float) -> None:
-        """Drop borrowers whose every loan has lapsed."""
+        """Remove borrowers whose loans have all expired."""
         limit = now - 2 * self._parameters.loan_duration_s
         for key, borrower in list(self._borrowers.items()):
             if borrower.reported_at < limit:
@@ -260,7 +265,11 @@
 def _fair_share(
     name: str, entry: Lendable, borrower: _BorrowerState, active: list[_BorrowerState]
 ) -> int:
-    """Split an endpoint's slots by demand; odd slots rotate with the name."""
+    """Return a borrower's share of an endpoint's slots, by demand.
+
+    Slots left over by rounding go to the largest remainders. Ties rotate with the
+    endpoint's name, so that no borrower gets them at every endpoint.
+    """
     service = entry.info.service
     weights = [1.0 + other.demand.get(service, 0) for other in active]
     exact = [entry.slots * weight / sum(weights) for weight in weights]
--- a/src/granitetrestle/shards.py
+++ b/src/granitetrestle/shards.py
@@ -1,5 +1,6 @@
-"""Everything that this process does as owner of shards: books, starts, lent
-slots and decisions on keys, opened and closed together with the epoch."""
+"""The owner's work on its shards: books, starts, loans of slots, key decisions.
+
+All of these are opened and closed together with the epoch of a shard."""
 
 import typing as t
 
@@ -38,7 +39,7 @@
 
 
 class ShardOwner:
-    """The owner's side of every shard that this process holds."""
+    """Runs every shard that this process owns."""
 
     def __init__(
         self,
@@ -74,13 +75,16 @@
 
     @property
     def lenders(self) -> t.Mapping[int, Lender]:
-        """Owned shard -> ledger of lent slots."""
+        """Owned shard -> ledger of its slot loans."""
         return self._lenders
 
     def open_epoch(
         self, shard: int, previous: ShardState, now: float, wall: float
     ) -> list[Effect]:
-        """Open all that goes with an epoch that this process won."""
+        """Open the books and ledgers of an epoch that this process has claimed.
+
+        :param previous: state of the shard before the claim.
+        """
         effects = self._placement.open_shard(shard, previous, now, wall)
         epoch = self._ownership.shards[shard].epoch
         older_loans_end_at = now
@@ -103,25 +107,25 @@
         return effects
 
     def close_epoch(self, shard: int) -> list[Effect]:
-        """Close all that goes with an epoch that is over."""
+        """Close the books and ledgers of an epoch that has ended."""
         self._lenders.pop(shard, None)
         self._keys.pop(shard, None)
         self._previous_states.pop(shard, None)
         return self._placement.close_shard(shard)
 
     def release_after_gap(self, shard: int, epoch: int) -> Effect:
-        """Release a shard whose books were lost with a gap in the log."""
+        """Release a shard whose books were lost through a gap in the log."""
         fact = ShardReleased(shard, epoch)
         return AppendFacts(self._stream, (fact,), f"release/{shard}")
 
     def begin_release(self) -> None:
-        """Stop deciding (a planned stop); what was sent is seen to its end."""
+        """Stop deciding, for a planned stop; commands in flight are completed."""
         self._releasing |= set(self._ownership.owned())
 
     def _release(
         self, owned: OwnedShard, successors: t.Sequence[str], wall: float
     ) -> list[Effect]:
-        """Hand a shard over once no start of this process can still arrive."""
+        """Release a shard once no start of this process can still arrive at a box."""
         if owned.shard in self._released or not self._is_quiesced(owned, wall):
             return []
         self._released.add(owned.shard)
@@ -147,7 +151,7 @@
         return self._ownership.may_start(shard, now)
 
     def decide_key(self, message: KeyAsked, now: float, wall: float) -> KeyVerdict:
-        """Answer whether a request with a key may run."""
+        """Return the decision on whether a request with a key may run."""
         shard = key_shard(message.account, message.key, self._shards)
         ledger = self._keys.get(shard)
         if ledger is None or not self._may_decide(shard, now):
@@ -158,7 +162,7 @@
         return KeyVerdict(message.request, verdict)
 
     def release_key(self, message: KeyReturned) -> None:
-        """Free a key under which nothing ran."""
+        """Free a key whose request did not run."""
         shard = key_shard(message.account, message.key, self._shards)
         if shard in self._keys:
             self._keys[shard].release(message.account, message.key, message.request)
@@ -166,7 +170,10 @@
     def grant_loans(
         self, node: str, incarnation: str, message: LoansHeld, now: float
     ) -> LoansGranted | None:
-        """Answer a borrower; its promise may prolong this owner's right."""
+        """Answer a borrower's report; its support may extend this owner's lease.
+
+        :returns: ``None`` if this process may not answer for the shard.
+        """
         lender = self._lenders.get(message.shard)
         if lender is None or message.shard in self._releasing:
             return None
@@ -186,7 +193,7 @@
         )
 
     def box_answered(self, event: BoxAnswered) -> list[Effect]:
-        """Take in a box's report."""
+        """Apply a box's answer to an exchange."""
         return self._placement.box_answered(event)
 
     def tick(
@@ -194,7 +201,8 @@
     ) -> list[Effect]:
         """Run a round of every owned shard.
 
-        :param heirs: other live processes of the hall, for a planned stop.
+        :param successors: other live processes of the hall, of which a planned stop
+            names one as the next owner of each shard.
         """
         effects: list[Effect] = []
         sweep = now >= self._sweep_at
@@ -214,7 +222,7 @@
     def _sweep(
         self, shard: int, owned: OwnedShard, now: float, wall: float
     ) -> list[Effect]:
-        """Look at every box and task; what can't wait is done on each tick."""
+        """Check every box and task; urgent work is done on each tick instead."""
         self._check_previous_owner(shard, owned, now, wall)
         effects = self._placement.end_lapsed(owned, wall)
         effects += self._drain(owned, now)
@@ -297,7 +305,7 @@
         lender.check(now)
 
     def explain(self, job: Job) -> dict[str, str] | None:
-        """Return task -> why it is where it is; ``None`` if not owned here."""
+        """Return task -> reason for its state, or ``None`` if not owned here."""
         owned = self._placement.owned_shards.get(job.shard)
         if owned is None:
             return None
@@ -314,5 +322,5 @@
 
 
 def endpoint_name(assignment: Assignment) -> str:
-    """Return the name of the endpoint that a running service task is."""
+    """Return the endpoint name of a running service task."""
     return f"{assignment.task}#{assignment.attempt}"
