--- a/src/granitetrestle/requests.py
+++ b/src/granitetrestle/requests.py
@@ -1,6 +1,8 @@
-"""Requests of callers from arrival to their one final outcome: admission, fair
-waiting, routing to a lent slot or to another hall, retries, and the rule that
-``not run`` is said only with proof. What is given up on is answered at once."""
+"""Requests of callers, from arrival to their single final outcome.
+
+Covers admission, fair queueing, routing to a borrowed slot or to another hall,
+and retries. ``NotRun`` is answered only with proof that the work did not begin.
+A request that is given up is answered at once."""
 
 import dataclasses
 import heapq
@@ -47,8 +49,9 @@
 class RequestParameters(t.NamedTuple):
     """Limits on requests at one entry process.
 
-    :param max_request_s: longest deadline in seconds; below the loans' term.
-    :param max_waiting: requests that may wait, over all accounts.
+    :param max_request_s: longest deadline in seconds; must be shorter than the
+        duration of a loan.
+    :param max_waiting: maximum number of waiting requests of all accounts.
     """
 
     max_request_s: float = 5.0
@@ -68,7 +71,7 @@
 
 
 class Requests:
-    """All requests that this process has not yet answered."""
+    """The requests that this process has not yet answered."""
 
     def __init__(
         self,
@@ -100,22 +103,22 @@
 
     @property
     def unanswered(self) -> int:
-        """Requests without a final outcome."""
+        """Number of requests without a final outcome."""
         return len(self._pending)
 
     @property
     def next_deadline(self) -> float:
-        """Monotonic time at which a waiting request may have to be given up."""
+        """Earliest deadline of an unanswered request (monotonic seconds)."""
         while self._deadlines and self._deadlines[0][1] not in self._pending:
             heapq.heappop(self._deadlines)
         return self._deadlines[0][0] if self._deadlines else float("inf")
 
     def stop(self) -> None:
-        """Refuse new requests from now on; finish what is here."""
+        """Refuse new requests from now on; those admitted are finished."""
         self._stopping = True
 
     def demand(self) -> dict[str, int]:
-        """Return service -> slots in use and requests waiting."""
+        """Return service -> number of slots in use and requests waiting."""
         demand = {name: len(queue) for name, queue in self._queues.items() if queue}
         for borrowed in self._borrower.endpoints.values():
             service = borrowed.loan.service
@@ -124,7 +127,7 @@
         return demand
 
     def admit(self, event: RequestArrived) -> list[Effect]:
-        """Admit, route, queue or refuse a request."""
+        """Admit and route a request, queue it or refuse it."""
         if self._stopping:
             return [_conclude(event.request, NotRun(Reason.STOPPING, 0.1))]
         if event.deadline <= event.now:
@@ -167,7 +170,7 @@
         return self._forward(pending, node, now)
 
     def apply_verdict(self, message: KeyVerdict, now: float) -> list[Effect]:
-        """Go on with a request whose key was decided."""
+        """Route or finish a request by the decision on its key."""
         pending = self._pending.get(message.request)
         if pending is None or pending.state != "key":
             return []
@@ -277,7 +280,7 @@
         return self._table.number(account, "weight")
 
     def apply_answer(self, event: AnswerArrived) -> list[Effect]:
-        """Pass a whole answer on; late and doubled ones are dropped."""
+        """Finish a request with a whole answer; ignore late and duplicate answers."""
         pending = self._pending_attempt(event.request, event.serial)
         if pending is None:
             return []
@@ -312,7 +315,11 @@
         self._borrower.return_slot(pending.endpoint, now, failed)
 
     def apply_failure(self, event: AnswerFailed) -> list[Effect]:
-        """Retry what is proved not run or repeatable, else say what is known."""
+        """Retry a request or finish it after a failed attempt.
+
+        Only a request that provably did not run or that is repeatable is retried.
+        Otherwise its outcome is ``NotRun`` with proof and ``Unknown`` without.
+        """
         pending = self._pending_attempt(event.request, event.serial)
         if pending is None:
             return []
@@ -345,7 +352,7 @@
         return self._route(pending, now)
 
     def remove_abandoned(self, event: CallerLeft) -> list[Effect]:
-        """Free all that a request held whose caller hung up."""
+        """Remove a request whose caller hung up, and free its slot."""
         pending = self._pending.get(event.request)
         if pending is None:
             return []
@@ -354,7 +361,7 @@
         return self.serve_waiting(event.now)
 
     def serve_waiting(self, now: float) -> list[Effect]:
-        """Give free slots to waiting requests in fair order."""
+        """Dispatch waiting requests to free slots in fair order."""
         effects: list[Effect] = []
         for service, queue in list(self._queues.items()):
             while queue:
@@ -371,12 +378,13 @@
         return effects
 
     def tick(self, now: float) -> list[Effect]:
-        """Give up on what can't be served in time, at once."""
+        """Refuse requests whose deadline has passed, and dispatch waiting ones."""
         effects: list[Effect] = []
         while self._deadlines and self._deadlines[0][0] <= now:
             _, request = heapq.heappop(self._deadlines)
             pending = self._pending.get(request)
-            # What was sent is ended by its adapter, which knows what left.
+            # A request that was sent is ended by its adapter, which knows whether any
+            # of it left this process.
             if pending is not None and pending.state in ("key", "waiting"):
                 wait_s = self._mean_service_time_s.get(
                     pending.event.service, INITIAL_SERVICE_TIME_S
@@ -388,7 +396,7 @@
     def _finish(self, pending: _Pending, outcome: Outcome) -> list[Effect]:
         self._drop(pending)
         if pending.may_have_run and isinstance(outcome, NotRun):
-            # An earlier try got through; only the last one is proved not to have.
+            # The proof covers only the last attempt; an earlier one may have run.
             outcome = Unknown(Reason.CONNECTION_LOST, outcome.reason.value)
         effects: list[Effect] = [_conclude(pending.event.request, outcome)]
         if pending.key_granted and isinstance(outcome, NotRun):
@@ -396,7 +404,7 @@
         return effects
 
     def _return_key(self, event: RequestArrived) -> list[Effect]:
-        """Let the caller use its key again, since nothing ran under it."""
+        """Release the key of a request that did not run, so that it can be reused."""
         if event.key_granted:
             return []
         shard = key_shard(event.account, event.key, self._shards)
