--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -340,9 +340,9 @@
 
     def _consider_handing_over(self, now: float, tasks: anyio.abc.TaskGroup) -> None:
         """Hand over to a process on a much larger box, if there is one."""
-        better = self._leadership.handover_target(now, self._parameters.cores)
-        if better and self._session is not None and not self._session.store_unavailable:
-            tasks.start_soon(self._hand_over, better, DRAIN_TIMEOUT_S)
+        target = self._leadership.handover_target(now, self._parameters.cores)
+        if target and self._session is not None and not self._session.store_unavailable:
+            tasks.start_soon(self._hand_over, target, DRAIN_TIMEOUT_S)
 
     async def _hand_over(self, successor: str, drain_s: float) -> None:
         """Stop leading; ``successor`` is asked to take over, unless it is empty."""
--- a/src/granitetrestle/reports.py
+++ b/src/granitetrestle/reports.py
@@ -129,9 +129,9 @@
         )
         self.leadership.update_majority(now)
         reports = self._retry_unsent(own, now)
-        gone = self.membership.expired_to_probe(now)
-        if gone and relaying:
-            reports.append(Report(gone, self._status(own, now, True, True)))
+        expired = self.membership.expired_to_probe(now)
+        if expired and relaying:
+            reports.append(Report(expired, self._status(own, now, True, True)))
         interval_s = SUBSCRIBE_INTERVAL_S
         if own.leading:
             interval_s = LEADER_REPORT_INTERVAL_S
