--- a/features/steps/box_standin_steps.py
+++ b/features/steps/box_standin_steps.py
@@ -180,7 +180,7 @@
 
 
 @then("no run up to {run:d} of {task} is accepted any more")
-def none_taken(context, run, task):
+def none_accepted(context, run, task):
     box, now = context.box, context.at + 1.0
     for number in range(1, run + 2):
         until = until_ms(box, now, 4.0)
--- a/src/granitetrestle/platform/server.py
+++ b/src/granitetrestle/platform/server.py
@@ -103,8 +103,8 @@
     return decoded.submission.job in session.scheduler.state.workflows
 
 
-def _retry_later(why: str, after_s: int = RETRY_AFTER_S) -> ClientAnswer:
-    return ClientAnswer(503, b"", after_s, why)
+def _retry_later(why: str, retry_after_s: int = RETRY_AFTER_S) -> ClientAnswer:
+    return ClientAnswer(503, b"", retry_after_s, why)
 
 
 class Ports(t.NamedTuple):
