--- a/src/granitetrestle/platform/boxes.py
+++ b/src/granitetrestle/platform/boxes.py
@@ -30,7 +30,7 @@
 
 __all__ = ["PlatformBoxes", "decode_entry"]
 
-# A box answers within some 3 ms; over a slow link between halls, or when the box that
+# A box answers within about 3 ms; over a slow link between halls, or when the box that
 # runs this process is busy, it takes longer.
 COMMAND_TIMEOUT_S: t.Final = 0.4
 # Added to the time that a long poll may wait.
--- a/src/granitetrestle/platform/front.py
+++ b/src/granitetrestle/platform/front.py
@@ -77,7 +77,7 @@
 
 
 class _Route(msgspec.Struct):
-    """A queue. A job's target is its critical path times ``extension``, plus
+    """A queue. A job's latency objective is its critical path times ``extension``, plus
     ``target_latency_ms``."""
 
     name: str
--- a/src/granitetrestle/platform/store.py
+++ b/src/granitetrestle/platform/store.py
@@ -37,7 +37,7 @@
 PRODUCER: t.Final = "granitetrestle"
 # Size of the length prefix of a record; the length doesn't include it.
 LENGTH_PREFIX_BYTES: t.Final = 4
-# An answer takes some 5 ms, and up to half a second if the store is slow.
+# An answer takes about 5 ms, and up to half a second if the store is slow.
 READ_TIMEOUT_S: t.Final = 1.0
 MAX_ANSWER_BYTES: t.Final = 4 * 1024 * 1024
 OK: t.Final = 200
