--- a/features/steps/fake_steps.py
+++ b/features/steps/fake_steps.py
@@ -180,7 +180,7 @@
         fake = context.world.nodes[node]
         request = f"race-{node}"
         edit = CellEdit("acc", "weight", value, 0)
-        fake.step(ev.TableEditAsked(fake.mono, request, (edit,)))
+        fake.step(ev.TableEditRequested(fake.mono, request, (edit,)))
         context.racers.append((fake, request))
     context.chaos.advance(1.0)
 
@@ -203,7 +203,7 @@
             node.cut_from_log = True
     fake = context.world.nodes["zurich-1"]
     edit = CellEdit("acc", "weight", 9.0, 0)
-    fake.step(ev.TableEditAsked(fake.mono, "cut-edit", (edit,)))
+    fake.step(ev.TableEditRequested(fake.mono, "cut-edit", (edit,)))
     context.chaos.advance(2.0)
     assert isinstance(fake.outcomes["cut-edit"], Accepted)
 
@@ -243,7 +243,7 @@
     fake = context.world.nodes["zurich-2"]
     for number in range(count):
         edit = CellEdit(f"other-{number}", "weight", 2.0, 0)
-        fake.step(ev.TableEditAsked(fake.mono, f"other-{number}", (edit,)))
+        fake.step(ev.TableEditRequested(fake.mono, f"other-{number}", (edit,)))
         context.chaos.advance(0.2)
 
 
@@ -276,7 +276,7 @@
     context.box = f"zurich-w{number}"
     fake = context.world.nodes["zurich-1"]
     for name, drained in (("drain", True), ("undrain", False)):
-        fake.step(ev.BoxDrainAsked(fake.mono, name, context.box, drained))
+        fake.step(ev.BoxDrainRequested(fake.mono, name, context.box, drained))
         context.chaos.advance(0.5)
         assert isinstance(fake.outcomes[name], Accepted)
 
--- a/features/steps/hall_steps.py
+++ b/features/steps/hall_steps.py
@@ -19,7 +19,7 @@
 
 def order(context, name, evacuated):
     fake = owner(context)
-    fake.step(ev.HallEvacuateAsked(fake.mono, name, evacuated))
+    fake.step(ev.HallEvacuateRequested(fake.mono, name, evacuated))
     context.chaos.advance(0.5)
     assert isinstance(fake.outcomes[name], Accepted), fake.outcomes
 
--- a/src/granitetrestle/api.py
+++ b/src/granitetrestle/api.py
@@ -29,11 +29,11 @@
 from .errors import NotRunError
 from .errors import OutcomeUnknown
 from .errors import UnreachableError
-from .events import BoxDrainAsked
-from .events import HallEvacuateAsked
-from .events import JobCancelAsked
-from .events import JobSubmitAsked
-from .events import TableEditAsked
+from .events import BoxDrainRequested
+from .events import HallEvacuateRequested
+from .events import JobCancelRequested
+from .events import JobSubmitRequested
+from .events import TableEditRequested
 from .jobs import Job
 from .jobs import check_spec
 from .outcomes import Accepted
@@ -217,7 +217,7 @@
         body = await self._body(request, TableEdits)
         check_edits(body.edits)
         name = f"edit-{uuid.uuid4().hex}"
-        event = TableEditAsked(time.monotonic(), name, tuple(body.edits))
+        event = TableEditRequested(time.monotonic(), name, tuple(body.edits))
         accepted = raise_unless_accepted(await self._engine.ask(name, event))
         return _json(AcceptedView(accepted.subject, accepted.offset))
 
@@ -231,7 +231,7 @@
         check_spec(spec)
         name = f"job-{uuid.uuid4().hex}"
         job = f"{self._engine.settings.hall}.{uuid.uuid4().hex[:12]}"
-        event = JobSubmitAsked(time.monotonic(), name, job, account, spec)
+        event = JobSubmitRequested(time.monotonic(), name, job, account, spec)
         accepted = raise_unless_accepted(await self._engine.ask(name, event))
         self._engine.telemetry.log.info(
             "job_accepted",
@@ -278,7 +278,7 @@
         if job is None:
             return await self._relay_job(request)
         name = f"cancel-{uuid.uuid4().hex}"
-        event = JobCancelAsked(time.monotonic(), name, job.job, job.account)
+        event = JobCancelRequested(time.monotonic(), name, job.job, job.account)
         accepted = raise_unless_accepted(await self._engine.ask(name, event))
         return _json(AcceptedView(accepted.subject, accepted.offset))
 
@@ -360,7 +360,7 @@
             return await self._relay_to_hall(request, hall, content)
         name = f"drain-{uuid.uuid4().hex}"
         box = request.path_params["box"]
-        event = BoxDrainAsked(time.monotonic(), name, box, body.drained)
+        event = BoxDrainRequested(time.monotonic(), name, box, body.drained)
         accepted = raise_unless_accepted(await self._engine.ask(name, event))
         return _json(AcceptedView(accepted.subject, accepted.offset))
 
@@ -372,7 +372,7 @@
             content = msgspec.json.encode(body)
             return await self._relay_to_hall(request, hall, content)
         name = f"evacuate-{uuid.uuid4().hex}"
-        event = HallEvacuateAsked(time.monotonic(), name, body.evacuated)
+        event = HallEvacuateRequested(time.monotonic(), name, body.evacuated)
         accepted = raise_unless_accepted(await self._engine.ask(name, event))
         return _json(AcceptedView(accepted.subject, accepted.offset))
 
--- a/src/granitetrestle/engine.py
+++ b/src/granitetrestle/engine.py
@@ -28,13 +28,13 @@
 from .events import Event
 from .events import FactsWithdrawn
 from .events import Forward
+from .events import LogEvent
 from .events import LogRead
-from .events import Note
 from .events import PeerMessage
 from .events import Proof
 from .events import RequestArrived
 from .events import SendPeer
-from .events import StopAsked
+from .events import StopRequested
 from .events import Tick
 from .events import Withdraw
 from .logfeed import LogFeed
@@ -211,7 +211,7 @@
                     self._append_contexts.pop(effect.request, None)
                 now = time.monotonic()
                 self.dispatch(FactsWithdrawn(now, effect.request, unsent))
-            case Note():
+            case LogEvent():
                 self._note(effect)
 
     def _start(
@@ -240,7 +240,7 @@
         now, wall = time.monotonic(), time.time()
         self.dispatch(PeerMessage(now, wall, sender, incarnation, message))
 
-    def _note(self, note: Note) -> None:
+    def _note(self, note: LogEvent) -> None:
         self._telemetry.log.info(
             note.event, subject=note.subject, detail=note.detail, epoch=note.epoch
         )
@@ -448,7 +448,7 @@
 
     async def stop(self) -> None:
         """Hand over and finish, for as long as the settings allow."""
-        self.dispatch(StopAsked(time.monotonic()))
+        self.dispatch(StopRequested(time.monotonic()))
         with anyio.move_on_after(self._settings.stop_grace_s):
             while not self._reducer.stopped:
                 await anyio.sleep(TICK_S)
--- a/src/granitetrestle/events.py
+++ b/src/granitetrestle/events.py
@@ -16,7 +16,7 @@
     "AnswerFailed",
     "AppendFacts",
     "BoxAnswered",
-    "BoxDrainAsked",
+    "BoxDrainRequested",
     "BoxFailed",
     "BoxInfo",
     "BoxListRead",
@@ -31,18 +31,18 @@
     "Event",
     "FactsWithdrawn",
     "Forward",
-    "HallEvacuateAsked",
-    "JobCancelAsked",
-    "JobSubmitAsked",
+    "HallEvacuateRequested",
+    "JobCancelRequested",
+    "JobSubmitRequested",
     "LogRead",
-    "Note",
+    "LogEvent",
     "PeerMessage",
     "Proof",
     "RequestArrived",
     "SendPeer",
     "SnapshotRead",
-    "StopAsked",
-    "TableEditAsked",
+    "StopRequested",
+    "TableEditRequested",
     "TaskReport",
     "Tick",
     "Withdraw",
@@ -186,7 +186,7 @@
     unsent: bool
 
 
-class JobSubmitAsked(t.NamedTuple):
+class JobSubmitRequested(t.NamedTuple):
     """An account submits a job."""
 
     now: float
@@ -196,7 +196,7 @@
     spec: JobSpec
 
 
-class JobCancelAsked(t.NamedTuple):
+class JobCancelRequested(t.NamedTuple):
     """An account (or, with ``account`` empty, an operator) cancels a job."""
 
     now: float
@@ -205,7 +205,7 @@
     account: str
 
 
-class TableEditAsked(t.NamedTuple):
+class TableEditRequested(t.NamedTuple):
     """An operator changes cells of the table."""
 
     now: float
@@ -213,7 +213,7 @@
     edits: tuple[CellEdit, ...]
 
 
-class BoxDrainAsked(t.NamedTuple):
+class BoxDrainRequested(t.NamedTuple):
     """An operator drains a box or gives it back."""
 
     now: float
@@ -222,7 +222,7 @@
     drained: bool
 
 
-class HallEvacuateAsked(t.NamedTuple):
+class HallEvacuateRequested(t.NamedTuple):
     """An operator evacuates this process's data hall or gives it back."""
 
     now: float
@@ -284,7 +284,7 @@
     request: str
 
 
-class StopAsked(t.NamedTuple):
+class StopRequested(t.NamedTuple):
     """A planned stop: hand over, finish what is in flight, exit."""
 
     now: float
@@ -299,16 +299,16 @@
     | BoxListRead
     | BoxAnswered
     | BoxFailed
-    | JobSubmitAsked
-    | JobCancelAsked
-    | TableEditAsked
-    | BoxDrainAsked
-    | HallEvacuateAsked
+    | JobSubmitRequested
+    | JobCancelRequested
+    | TableEditRequested
+    | BoxDrainRequested
+    | HallEvacuateRequested
     | RequestArrived
     | AnswerArrived
     | AnswerFailed
     | CallerLeft
-    | StopAsked
+    | StopRequested
 )
 
 
@@ -384,7 +384,7 @@
     key_granted: bool
 
 
-class Note(t.NamedTuple):
+class LogEvent(t.NamedTuple):
     """A decision worth a log line; ``epoch`` is 0 where none applies."""
 
     event: str
@@ -401,5 +401,5 @@
     | Conclude
     | Dispatch
     | Forward
-    | Note
+    | LogEvent
 )
--- a/src/granitetrestle/intake.py
+++ b/src/granitetrestle/intake.py
@@ -5,13 +5,13 @@
 import zlib
 
 from .capacity import Vector
-from .events import BoxDrainAsked
+from .events import BoxDrainRequested
 from .events import Conclude
 from .events import Effect
-from .events import HallEvacuateAsked
-from .events import JobCancelAsked
-from .events import JobSubmitAsked
-from .events import TableEditAsked
+from .events import HallEvacuateRequested
+from .events import JobCancelRequested
+from .events import JobSubmitRequested
+from .events import TableEditRequested
 from .jobs import Jobs
 from .outcomes import Reason
 from .outcomes import Rejected
@@ -53,7 +53,7 @@
         self._placement = placement
         self._submissions = submissions
 
-    def job_submit(self, event: JobSubmitAsked) -> list[Effect]:
+    def job_submit(self, event: JobSubmitRequested) -> list[Effect]:
         """Submit a job to the shard that its name draws."""
         need = Vector.of(event.spec)
         totals = self._totals()
@@ -92,7 +92,7 @@
                 return shard
         return self._shards - 1
 
-    def job_cancel(self, event: JobCancelAsked) -> list[Effect]:
+    def job_cancel(self, event: JobCancelRequested) -> list[Effect]:
         """Cancel a job of the account, or any for an operator."""
         job = self._jobs.jobs.get(event.job)
         if job is None or event.account not in ("", job.account):
@@ -100,13 +100,13 @@
         fact = JobCancelled(event.request, event.job)
         return self._submissions.submit(event.request, self._stream, fact, event.now)
 
-    def table_edit(self, event: TableEditAsked) -> list[Effect]:
+    def table_edit(self, event: TableEditRequested) -> list[Effect]:
         """Change cells of the table."""
         fact = TableEdited(event.request, event.edits)
         stream = self._config_stream
         return self._submissions.submit(event.request, stream, fact, event.now)
 
-    def box_drain(self, event: BoxDrainAsked) -> list[Effect]:
+    def box_drain(self, event: BoxDrainRequested) -> list[Effect]:
         """Drain a box of this hall, or give it back."""
         if event.box not in (self._placement.listed or {}):
             text = f"no box {event.box} in this hall"
@@ -114,7 +114,7 @@
         fact = BoxDrained(event.request, event.box, event.drained)
         return self._submissions.submit(event.request, self._stream, fact, event.now)
 
-    def hall_evacuate(self, event: HallEvacuateAsked) -> list[Effect]:
+    def hall_evacuate(self, event: HallEvacuateRequested) -> list[Effect]:
         """Evacuate this process's data hall, or give it back."""
         fact = HallEvacuated(event.request, event.evacuated)
         return self._submissions.submit(event.request, self._stream, fact, event.now)
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -16,7 +16,7 @@
 from .events import Command
 from .events import CommandBox
 from .events import Effect
-from .events import Note
+from .events import LogEvent
 from .events import TaskReport
 from .jobs import Job
 from .jobs import Jobs
@@ -114,13 +114,13 @@
         if before.epoch == 0:
             owned.old_starts_expired_wall = 0.0
         tasks = f"tasks: {len(owned.uncertain)} uncertain, {len(owned.waiting)} waiting"
-        return [Note("shard_won", f"shard {shard}", tasks, state.epoch)]
+        return [LogEvent("shard_won", f"shard {shard}", tasks, state.epoch)]
 
     def close_shard(self, shard: int) -> list[Effect]:
         """Drop the state of a shard; its tasks run on until their leases expire."""
         if self._owned_shards.pop(shard, None) is None:
             return []
-        return [Note("shard_lost", f"shard {shard}")]
+        return [LogEvent("shard_lost", f"shard {shard}")]
 
     def update_boxes(self, boxes: t.Sequence[BoxInfo]) -> None:
         """Apply the platform's list of boxes."""
@@ -220,7 +220,7 @@
         owned.eviction_deadlines.pop(task.task, None)
         if not task.ended:
             owned.enqueue(job, task)
-        return [Note("attempt_ended", fact.task, fact.ending, fact.epoch)]
+        return [LogEvent("attempt_ended", fact.task, fact.ending, fact.epoch)]
 
     def _add_cleanup(
         self,
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -9,8 +9,8 @@
 from .events import AppendFacts
 from .events import Effect
 from .events import Event
+from .events import LogEvent
 from .events import LogRead
-from .events import Note
 from .events import SendPeer
 from .events import Tick
 from .halls import Halls
@@ -135,16 +135,16 @@
             ev.BoxListRead: self._boxes_listed,
             ev.BoxAnswered: self._box_answered,
             ev.BoxFailed: self._box_failed,
-            ev.JobSubmitAsked: self._intake.job_submit,
-            ev.JobCancelAsked: self._intake.job_cancel,
-            ev.TableEditAsked: self._intake.table_edit,
-            ev.BoxDrainAsked: self._intake.box_drain,
-            ev.HallEvacuateAsked: self._intake.hall_evacuate,
+            ev.JobSubmitRequested: self._intake.job_submit,
+            ev.JobCancelRequested: self._intake.job_cancel,
+            ev.TableEditRequested: self._intake.table_edit,
+            ev.BoxDrainRequested: self._intake.box_drain,
+            ev.HallEvacuateRequested: self._intake.hall_evacuate,
             ev.RequestArrived: self._requests.admit,
             ev.AnswerArrived: self._requests.apply_answer,
             ev.AnswerFailed: self._requests.apply_failure,
             ev.CallerLeft: self._requests.remove_abandoned,
-            ev.StopAsked: self._stop,
+            ev.StopRequested: self._stop,
         }
 
     @property
@@ -482,11 +482,11 @@
         self._owner.placement.box_failed(event)
         return []
 
-    def _stop(self, event: ev.StopAsked) -> list[Effect]:
+    def _stop(self, event: ev.StopRequested) -> list[Effect]:
         self._stopping = True
         self._requests.stop()
         self._owner.begin_release()
-        return [Note("stopping", self._setup.node)]
+        return [LogEvent("stopping", self._setup.node)]
 
     def explain(self, job: Job) -> dict[str, str] | None:
         """Return task -> reason; ``None`` if another process owns the shard."""
--- a/src/granitetrestle/shards.py
+++ b/src/granitetrestle/shards.py
@@ -8,7 +8,7 @@
 from .events import AppendFacts
 from .events import BoxAnswered
 from .events import Effect
-from .events import Note
+from .events import LogEvent
 from .jobs import Job
 from .jobs import Jobs
 from .keys import MAX_KEY_AHEAD_S as KEY_AHEAD_S
@@ -276,7 +276,7 @@
         assignment.state = "draining" if service else "evicting"
         assignment.stop_reason = "evicted"
         assignment.reason = f"{assignment.box} is draining"
-        return Note("draining", assignment.task, assignment.reason, epoch)
+        return LogEvent("draining", assignment.task, assignment.reason, epoch)
 
     def _finish_drain(
         self, owned: OwnedShard, assignment: Assignment, now: float
--- a/src/granitetrestle/starts.py
+++ b/src/granitetrestle/starts.py
@@ -10,7 +10,7 @@
 from .capacity import Vector
 from .events import AppendFacts
 from .events import Effect
-from .events import Note
+from .events import LogEvent
 from .jobs import Jobs
 from .ownedshard import OwnedShard
 from .policy import BoxChoice
@@ -144,7 +144,7 @@
         if choice is not None:
             self._start(owned, task, choice)
             note = f"on {choice.box}: {choice.reason}"
-            effects.append(Note("placed", task.task, note, owned.epoch))
+            effects.append(LogEvent("placed", task.task, note, owned.epoch))
             return ""
         if not shape.service and not self._within_urgent_quota(
             owned, task.account, shape
@@ -208,7 +208,7 @@
             self._evictions.setdefault(assignment.account, []).append(now)
             reason = f"frees {choice.box} for {task.task}: {choice.reason}"
             assignment.reason = reason
-            effects.append(Note("evicting", victim, reason, owned.epoch))
+            effects.append(LogEvent("evicting", victim, reason, owned.epoch))
         owned.index.boxes[choice.box].next_exchange_at = now
         return f"waiting for {', '.join(choice.victims)} to leave {choice.box}"
 
--- a/src/granitetrestle_bench/recovery.py
+++ b/src/granitetrestle_bench/recovery.py
@@ -52,7 +52,7 @@
     """Seconds from a planned stop until another may start work."""
     world = _world(seed)
     old = _owner(world)
-    old.step(ev.StopAsked(old.mono))
+    old.step(ev.StopRequested(old.mono))
     return world.advance_until(lambda: _in_office(world, old), LIMIT_S)
 
 
@@ -61,7 +61,7 @@
     world = _world(seed)
     node = world.nodes["zurich-2"]
     spec = JobSpec("batch", 1.0, 1.0, run_s=30.0, urgent=True)
-    node.step(ev.JobSubmitAsked(node.mono, "r", "zurich.u", "acc", spec))
+    node.step(ev.JobSubmitRequested(node.mono, "r", "zurich.u", "acc", spec))
     return world.advance_until(lambda: "zurich.u/0" in world.ledger.running, LIMIT_S)
 
 
@@ -70,11 +70,11 @@
     world = _world(seed)
     node = world.nodes["zurich-2"]
     batch = JobSpec("batch", 8.0, 1.0, tasks=4, run_s=600.0)
-    node.step(ev.JobSubmitAsked(node.mono, "b", "zurich.b", "acc", batch))
+    node.step(ev.JobSubmitRequested(node.mono, "b", "zurich.b", "acc", batch))
     world.advance(3.0)
     assert len(world.ledger.running) == 4
     spec = JobSpec("batch", 4.0, 1.0, run_s=30.0, urgent=True)
-    node.step(ev.JobSubmitAsked(node.mono, "r", "zurich.u", "acc2", spec))
+    node.step(ev.JobSubmitRequested(node.mono, "r", "zurich.u", "acc2", spec))
     return world.advance_until(lambda: "zurich.u/0" in world.ledger.running, LIMIT_S)
 
 
@@ -85,7 +85,7 @@
     node = next(n for n in world.nodes.values() if n is not old)
     world.kill(old.name)
     spec = JobSpec("batch", 1.0, 1.0, run_s=30.0, urgent=True)
-    node.step(ev.JobSubmitAsked(node.mono, "r", "zurich.u", "acc", spec))
+    node.step(ev.JobSubmitRequested(node.mono, "r", "zurich.u", "acc", spec))
     return world.advance_until(lambda: "zurich.u/0" in world.ledger.running, LIMIT_S)
 
 
@@ -95,7 +95,7 @@
     world.faults = faults
     node = world.nodes["bern-1"]
     edit = CellEdit("acc", "weight", 2.0, 0)
-    node.step(ev.TableEditAsked(node.mono, "e", (edit,)))
+    node.step(ev.TableEditRequested(node.mono, "e", (edit,)))
 
     def everywhere() -> bool:
         nodes = world.nodes.values()
--- a/src/granitetrestle_standins/chaos.py
+++ b/src/granitetrestle_standins/chaos.py
@@ -51,7 +51,9 @@
         self.jobs.append(job)
         request = f"submit-{job}"
         node.run(
-            lambda: node.step(ev.JobSubmitAsked(node.mono, request, job, account, spec))
+            lambda: node.step(
+                ev.JobSubmitRequested(node.mono, request, job, account, spec)
+            )
         )
         return job
 
@@ -65,7 +67,9 @@
         nodes = self.world.nodes.values()
         node = next((n for n in nodes if n.alive and n.setup.hall == hall), None)
         if node is not None:
-            node.run(lambda: node.step(ev.JobCancelAsked(node.mono, request, job, "")))
+            node.run(
+                lambda: node.step(ev.JobCancelRequested(node.mono, request, job, ""))
+            )
 
     def call(self, choice: int, service: str, key: str = "") -> str:
         """Let a caller call a service at some process."""
@@ -92,7 +96,7 @@
             )
             for column in columns
         )
-        node.run(lambda: node.step(ev.TableEditAsked(node.mono, name, edits)))
+        node.run(lambda: node.step(ev.TableEditRequested(node.mono, name, edits)))
 
     def kill(self, choice: int) -> None:
         """Kill a process and start another in its place, as platforms do."""
--- a/src/granitetrestle_standins/fakenode.py
+++ b/src/granitetrestle_standins/fakenode.py
@@ -187,7 +187,7 @@
                 waiting = self.writers[effect.stream].waiting
                 unsent = waiting.pop(effect.request, None) is not None
                 self.step(ev.FactsWithdrawn(self.mono, effect.request, unsent))
-            case ev.Note():
+            case ev.LogEvent():
                 self.notes[effect.event] += 1
 
     def _conclude(self, effect: ev.Conclude) -> None:
