--- a/src/granitetrestle/events.py
+++ b/src/granitetrestle/events.py
@@ -1,6 +1,7 @@
-"""Events that the reducer takes and effects that it gives back, as plain data.
-Time, randomness and I/O reach the decisions only through these types, so any
-run can be replayed, and every fault is just another order of events."""
+"""Events that the reducer applies and effects that it returns, as plain data.
+
+Time, randomness and I/O reach the decisions only through these types. Any run
+can therefore be replayed, and a fault is only another order of events."""
 
 import typing as t
 
@@ -50,9 +51,12 @@
 
 
 class BoxInfo(t.NamedTuple):
-    """A line of the platform's lagging list of boxes.
+    """An entry of the platform's list of boxes, which lags behind their state.
 
-    :param address: takes exchanges; ``endpoint_address`` takes requests.
+    :param address: where exchanges are sent.
+    :param endpoint_address: where requests are sent.
+    :param leaving: about to leave, so that its tasks are drained.
+    :param slots: requests that one endpoint on the box serves at a time.
     """
 
     box: str
@@ -68,12 +72,11 @@
 
 
 class Command(t.NamedTuple):
-    """One order to a box.
-
-    :param speed: for throttle, the share of its cores that a task may use.
+    """One command to a box.
 
-    :param not_after: wall time (s) after which a start is dead on arrival.
+    :param not_after: wall time (s) after which the box refuses a start.
     :param expires: wall time (s) at which the box drops the task by itself.
+    :param speed: for throttle, the share of its cores that a task may use.
     """
 
     op: t.Literal["start", "renew", "stop", "checkpoint", "forget", "throttle"]
@@ -88,7 +91,7 @@
 
 
 class CommandResult(t.NamedTuple):
-    """A box's answer to one command; ``error`` is empty if it was obeyed."""
+    """A box's answer to one command; ``error`` is empty if it was carried out."""
 
     task: str
     attempt: int
@@ -97,7 +100,10 @@
 
 
 class TaskReport(t.NamedTuple):
-    """One task on a box: running, finished, failed, stopped or evicted."""
+    """One task on a box.
+
+    :param state: running, finished, failed, stopped or evicted.
+    """
 
     task: str
     attempt: int
@@ -108,20 +114,27 @@
 
 
 class BoxReport(t.NamedTuple):
-    """All that a box holds, taken after it obeyed the commands it came with."""
+    """All tasks on a box after it carried out the commands of the exchange."""
 
     tasks: tuple[TaskReport, ...]
 
 
 class Tick(t.NamedTuple):
-    """Time passes. ``now`` is monotonic, ``wall`` is wall time; both seconds."""
+    """Time has passed.
+
+    :param now: monotonic time in seconds, in all events.
+    :param wall: wall time in seconds, in all events.
+    """
 
     now: float
     wall: float
 
 
 class LogRead(t.NamedTuple):
-    """Records of one stream in order; ``tail`` if the read reached its end."""
+    """Records of one stream, in order.
+
+    :param tail: whether the read reached the end of the stream.
+    """
 
     now: float
     stream: str
@@ -131,7 +144,7 @@
 
 
 class SnapshotRead(t.NamedTuple):
-    """A whole snapshot of ``stream`` that covers the records up to ``upto``."""
+    """A complete snapshot of ``stream`` that covers the records up to ``upto``."""
 
     now: float
     stream: str
@@ -140,7 +153,10 @@
 
 
 class FactsWithdrawn(t.NamedTuple):
-    """Answer to :class:`Withdraw`. ``unsent`` proves that nothing was sent."""
+    """Answer to :class:`Withdraw`.
+
+    :param unsent: proves that no fact of the request was sent.
+    """
 
     now: float
     request: str
@@ -176,7 +192,10 @@
 
 
 class BoxFailed(t.NamedTuple):
-    """An exchange failed; unless ``unsent``, its commands may have arrived."""
+    """An exchange failed.
+
+    :param unsent: nothing was sent; otherwise the commands may have arrived.
+    """
 
     now: float
     wall: float
@@ -214,7 +233,7 @@
 
 
 class BoxDrainRequested(t.NamedTuple):
-    """An operator drains a box or gives it back."""
+    """An operator drains a box or ends its drain."""
 
     now: float
     request: str
@@ -223,7 +242,7 @@
 
 
 class HallEvacuateRequested(t.NamedTuple):
-    """An operator evacuates this process's data hall or gives it back."""
+    """An operator evacuates this process's data hall or restores it."""
 
     now: float
     request: str
@@ -231,13 +250,14 @@
 
 
 class RequestArrived(t.NamedTuple):
-    """A caller's request. ``deadline`` is monotonic seconds.
+    """A caller's request.
 
+    :param deadline: monotonic time in seconds.
     :param repeatable: may run more than once without harm.
     :param key: names work that must run at most once.
     :param issued_at: wall time (s) at which the caller made the key.
-    :param hops: how often another process has sent it on.
-    :param key_granted: the key's decider has already said ``run``.
+    :param hops: how many processes have forwarded it.
+    :param key_granted: the decision on its key was already ``run``.
     """
 
     now: float
@@ -254,14 +274,14 @@
 
 
 class Proof(t.NamedTuple):
-    """What is known of a failed try: whether the work can have begun."""
+    """What is known of a failed attempt: whether the work may have begun."""
 
     may_have_run: bool
     detail: str
 
 
 class AnswerArrived(t.NamedTuple):
-    """A whole answer came back for try ``serial`` of a request."""
+    """A whole answer arrived for attempt ``serial`` of a request."""
 
     now: float
     request: str
@@ -269,7 +289,7 @@
 
 
 class AnswerFailed(t.NamedTuple):
-    """Try ``serial`` of a request failed."""
+    """Attempt ``serial`` of a request failed."""
 
     now: float
     request: str
@@ -285,7 +305,7 @@
 
 
 class StopRequested(t.NamedTuple):
-    """A planned stop: hand over, finish what is in flight, exit."""
+    """A planned stop: release the shards, finish requests in flight, exit."""
 
     now: float
 
@@ -313,9 +333,9 @@
 
 
 class AppendFacts(t.NamedTuple):
-    """Put facts on a stream.
+    """Append facts to a stream.
 
-    :param request: name by which :class:`Withdraw` can take them back.
+    :param request: name by which :class:`Withdraw` can cancel the append.
     :param latest_only: a newer append of the same name replaces a waiting one.
     """
 
@@ -326,21 +346,21 @@
 
 
 class Withdraw(t.NamedTuple):
-    """Take back facts that were not yet sent."""
+    """Cancel an append whose facts were not yet sent."""
 
     stream: str
     request: str
 
 
 class SendPeer(t.NamedTuple):
-    """Send a message to a process by name; it may be dropped."""
+    """Send a message to a process by name; the message may be lost."""
 
     node: str
     message: Message
 
 
 class CommandBox(t.NamedTuple):
-    """Exchange commands for a report with a box."""
+    """Send commands to a box, which answers with a report."""
 
     box: str
     address: str
@@ -348,16 +368,17 @@
 
 
 class Conclude(t.NamedTuple):
-    """Give a caller or operator the one final outcome."""
+    """Answer a caller or operator with the single final outcome."""
 
     request: str
     outcome: Outcome
 
 
 class Dispatch(t.NamedTuple):
-    """Send a request to an endpoint as its try ``serial``.
+    """Send a request to an endpoint as its attempt ``serial``.
 
-    :param fresh: use a connection just known good (non-repeatable work).
+    :param fresh: use only a new connection or one that was just found to work,
+        since the request is not repeatable.
     """
 
     request: str
@@ -369,10 +390,10 @@
 
 
 class Forward(t.NamedTuple):
-    """Send a request on to a process of another hall as its try ``serial``.
+    """Forward a request to a process of another hall as its attempt ``serial``.
 
     :param peer_deadline: the peer's deadline, earlier than ``deadline`` so that
-        its typed refusal still comes back in time.
+        its typed refusal still arrives in time.
     """
 
     request: str
@@ -385,7 +406,7 @@
 
 
 class LogEvent(t.NamedTuple):
-    """A decision worth a log line; ``epoch`` is 0 where none applies."""
+    """A decision to write to the log; ``epoch`` is 0 where none applies."""
 
     event: str
     subject: str
