--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -25,8 +25,8 @@
 def _running(context, job):
     tasks = []
     for box in context.cluster.boxes:
-        seen = context.cluster.get(box, "/inspect")[1]
-        tasks += [task for task in seen["running"] if task.startswith(job)]
+        inspected = context.cluster.get(box, "/inspect")[1]
+        tasks += [task for task in inspected["running"] if task.startswith(job)]
     return tasks
 
 
@@ -51,30 +51,33 @@
 
 
 def _others(context):
-    return [n for n in context.cluster.running_daemons() if n != context.victim]
+    return [
+        n for n in context.cluster.running_daemons() if n != context.signalled_owner
+    ]
 
 
-def _followed(context):
+def _has_new_owner(context):
     return all(
-        _owner(context, node) not in ("", context.victim) for node in _others(context)
+        _owner(context, node) not in ("", context.signalled_owner)
+        for node in _others(context)
     )
 
 
 @when("the owner is killed")
 def kill_owner(context):
-    context.victim = _owner(context, "zurich-1")
-    context.cluster.signal(context.victim, signal.SIGKILL)
-    context.cluster.wait_exit(context.victim)
+    context.signalled_owner = _owner(context, "zurich-1")
+    context.cluster.signal(context.signalled_owner, signal.SIGKILL)
+    context.cluster.wait_exit(context.signalled_owner)
 
 
 @then("another process owns the shard, and the batch tasks ran on without a restart")
-def followed(context):
-    wait_for(lambda: _followed(context), "another process owns the shard")
-    _still_running(context)
+def new_owner(context):
+    wait_for(lambda: _has_new_owner(context), "another process owns the shard")
+    still_running(context)
 
 
 @then("the batch tasks ran on without a restart")
-def _still_running(context):
+def still_running(context):
     # Longer than a lease, so that renewals by the successor are what counts.
     time.sleep(12.0)
     assert len(_running(context, context.long_job)) == 4
@@ -102,18 +105,18 @@
 @then("no box saw a task twice or more work than it has")
 def no_faults_seen(context):
     for box in context.cluster.boxes:
-        seen = context.cluster.get(box, "/inspect")[1]
-        assert not seen["faults"], seen["faults"]
+        inspected = context.cluster.get(box, "/inspect")[1]
+        assert not inspected["faults"], inspected["faults"]
 
 
 @when("the owner is stopped by SIGSTOP until another owns the shard, then goes on")
-def stop_and_go(context):
-    context.victim = _owner(context, "zurich-1")
-    context.cluster.signal(context.victim, signal.SIGSTOP)
-    wait_for(lambda: _followed(context), "another process owns the shard")
-    context.cluster.signal(context.victim, signal.SIGCONT)
+def stop_and_continue(context):
+    context.signalled_owner = _owner(context, "zurich-1")
+    context.cluster.signal(context.signalled_owner, signal.SIGSTOP)
+    wait_for(lambda: _has_new_owner(context), "another process owns the shard")
+    context.cluster.signal(context.signalled_owner, signal.SIGCONT)
     wait_for(
-        lambda: _owner(context, context.victim) != context.victim,
+        lambda: _owner(context, context.signalled_owner) != context.signalled_owner,
         "the old owner knows that it was followed",
     )
 
@@ -161,7 +164,7 @@
         context,
         account,
         "unlock",
-        context.victim,
+        context.signalled_owner,
         body,
         **{"X-Work-S": "1.5", "X-Deadline-Ms": "5000"},
     )
@@ -170,12 +173,15 @@
 
 @when("the owner gets SIGTERM while {count:d} requests of 1.5 seconds are in flight")
 def term_under_load(context, count):
-    context.victim = _owner(context, "zurich-1")
-    wait_for(lambda: _slots(context, context.victim) >= count, "slots for all of them")
+    context.signalled_owner = _owner(context, "zurich-1")
+    wait_for(
+        lambda: _slots(context, context.signalled_owner) >= count,
+        "slots for all of them",
+    )
     with concurrent.futures.ThreadPoolExecutor(count) as pool:
         calls = [pool.submit(_slow_call, context, n) for n in range(count)]
         wait_for(lambda: _in_service(context) == count, "requests in flight")
-        context.cluster.signal(context.victim, signal.SIGTERM)
+        context.cluster.signal(context.signalled_owner, signal.SIGTERM)
         context.in_flight = [done.result() for done in calls]
 
 
@@ -198,7 +204,7 @@
 
 @then("the stopped process exits with code 0")
 def exits(context):
-    assert context.cluster.wait_exit(context.victim) == 0
+    assert context.cluster.wait_exit(context.signalled_owner) == 0
 
 
 @when(
@@ -210,15 +216,15 @@
 
     def caller(number):
         answers = []
-        for turn in range(times):
-            body = json.dumps({"caller": number, "turn": turn}).encode()
-            node = nodes[(number + turn) % len(nodes)]
+        for index in range(times):
+            body = json.dumps({"caller": number, "turn": index}).encode()
+            node = nodes[(number + index) % len(nodes)]
             for _ in range(20):
                 response = call(context, account, service, node, body)
                 if response.status not in (429, 503):
                     break
-                after = dict(response.headers).get(b"retry-after", b"0.05")
-                time.sleep(float(after))
+                retry_after = dict(response.headers).get(b"retry-after", b"0.05")
+                time.sleep(float(retry_after))
             answers.append((body, response.status, response.content, 0.0))
         return answers
 
--- a/features/steps/hall_steps.py
+++ b/features/steps/hall_steps.py
@@ -17,7 +17,7 @@
 CODE_NOT_FOUND = 4
 
 
-def order(context, name, evacuated):
+def set_evacuated(context, name, evacuated):
     fake = owner(context)
     fake.step(ev.HallEvacuateRequested(fake.mono, name, evacuated))
     context.chaos.advance(0.5)
@@ -26,8 +26,8 @@
 
 @when("the hall is evacuated, and a job of 2 tasks is handed in")
 def evacuated(context):
-    context.where = dict(context.world.ledger.running)
-    order(context, "evacuate", True)
+    context.initial_placement = dict(context.world.ledger.running)
+    set_evacuated(context, "evacuate", True)
     spec = JobSpec("batch", 1.0, 1.0, tasks=2, run_s=30.0)
     context.job = context.chaos.submit(0, spec, "acc")
     context.chaos.advance(4.0)
@@ -38,17 +38,19 @@
     running = context.world.ledger.running
     assert not any(task.startswith(context.job) for task in running), running
     reducer = owner(context).reducer
-    told = reducer.owner.explain(reducer.jobs.jobs[context.job])
-    assert set(told.values()) == {"waiting: operators have evacuated the data hall"}, (
-        told
-    )
+    explanations = reducer.owner.explain(reducer.jobs.jobs[context.job])
+    assert set(explanations.values()) == {
+        "waiting: operators have evacuated the data hall"
+    }, explanations
 
 
 @then("the replicas still run where they were")
 def replicas_run(context):
     running = context.world.ledger.running
-    assert context.where
-    assert {task: running.get(task) for task in context.where} == context.where
+    assert context.initial_placement
+    assert {
+        task: running.get(task) for task in context.initial_placement
+    } == context.initial_placement
 
 
 @when("the owner is killed and {seconds:d} seconds pass")
@@ -59,7 +61,7 @@
 
 @when("the hall is given back")
 def given_back(context):
-    order(context, "restore", False)
+    set_evacuated(context, "restore", False)
 
 
 @then("its tasks run within {seconds:d} seconds")
@@ -71,7 +73,7 @@
 
 @when("the hall is evacuated, and a snapshot of its stream is taken")
 def snapshot_taken(context):
-    order(context, "evacuate", True)
+    set_evacuated(context, "evacuate", True)
     context.payload = encode_state(owner(context).reducer.state_of("hall-zurich"))
 
 
@@ -90,10 +92,10 @@
         assert code == 0, out
         return [hall["evacuated"] for hall in json.loads(out)]
 
-    for words, wanted in (("evacuate", [True]), ("restore", [False])):
-        code, out = cluster.cli("zurich-1", token, "hall", words, "zurich", "--json")
+    for action, expected in (("evacuate", [True]), ("restore", [False])):
+        code, out = cluster.cli("zurich-1", token, "hall", action, "zurich", "--json")
         assert code == 0, out
-        wait_for(lambda w=wanted: state() == w, f"hall {words}")
+        wait_for(lambda w=expected: state() == w, f"hall {action}")
     code, out = cluster.cli("zurich-1", token, "hall", "evacuate", "zurich")
     assert code == 0, out
     code, out = cluster.cli("zurich-1", token, "status")
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -13,7 +13,7 @@
 from granitetrestle_standins.fakes import Faults
 
 
-def _call_everywhere(context, count):
+def _call_all_processes(context, count):
     for number in range(count):
         for node in sorted(context.world.nodes):
             if context.world.nodes[node].alive:
@@ -24,10 +24,10 @@
 @when("callers keep every process busy while each freezes in turn")
 def busy_and_frozen(context):
     for name in sorted(context.world.nodes):
-        _call_everywhere(context, 30)
+        _call_all_processes(context, 30)
         context.world.nodes[name].frozen_until = context.world.now + 12.0
         for _ in range(11):
-            _call_everywhere(context, 10)
+            _call_all_processes(context, 10)
             context.chaos.advance(0.9)
         # A burst that is on its way when the frozen process wakes.
         context.chaos.advance(
@@ -73,17 +73,19 @@
 @then("every caller has one final outcome")
 def one_outcome(context):
     context.chaos.advance(6.0)
-    told = dict(context.chaos.outcomes())
-    missing = [q for q in context.called if q not in told]
+    outcomes = dict(context.chaos.outcomes())
+    missing = [q for q in context.called if q not in outcomes]
     assert not missing, missing
-    context.told = collections.Counter(type(told[q]).__name__ for q in context.called)
+    context.outcome_counts = collections.Counter(
+        type(outcomes[q]).__name__ for q in context.called
+    )
 
 
 @then("none that was told not to have run has run, and some were told so")
 def not_run_is_true(context):
     context.chaos.check_not_run()
-    assert context.told["NotRun"], (
-        context.told,
+    assert context.outcome_counts["NotRun"], (
+        context.outcome_counts,
         [dict(context.chaos.outcomes())[q] for q in context.called][:4],
     )
 
@@ -94,7 +96,7 @@
 
 
 @when("the boxes that serve lose all that they run")
-def box_down(context):
+def serving_boxes_fail(context):
     endpoints = [e for _, e, _ in context.world.served]
     assert endpoints
     for box in context.world.boxes.values():
@@ -129,9 +131,9 @@
 
 
 @then("one caller was answered and no other was told that it ran or will run")
-def one_answer(context):
-    told = dict(context.chaos.outcomes())
-    kinds = collections.Counter(type(told[q]).__name__ for q in context.called)
+def exactly_one_answered(context):
+    outcomes = dict(context.chaos.outcomes())
+    kinds = collections.Counter(type(outcomes[q]).__name__ for q in context.called)
     assert kinds["Answered"] == 1, kinds
     assert kinds["Answered"] + kinds["Unknown"] + kinds["NotRun"] == len(
         context.called
@@ -139,10 +141,10 @@
 
 
 @when('the key "{key}" is tried again with the time at which it was made')
-def key_again(context, key):
+def retry_key(context, key):
     event = next(e for e in context.world.arrivals.values() if e.key == key)
     name = next(n for n, x in sorted(context.world.nodes.items()) if x.alive)
-    context.again = context.world.request(
+    context.retried_request = context.world.request(
         name, "acc", "unlock", key=key, issued_at=event.issued_at
     )
     context.chaos.advance(3.0)
@@ -150,7 +152,7 @@
 
 @then("the answer is unknown, at once")
 def unknown_at_once(context):
-    outcome = dict(context.chaos.outcomes())[context.again]
+    outcome = dict(context.chaos.outcomes())[context.retried_request]
     assert isinstance(outcome, Unknown), outcome
 
 
@@ -176,8 +178,8 @@
             )
         )
     context.chaos.advance(0.2)
-    told = dict(context.chaos.outcomes())
-    kinds = [told[q] for q in names]
+    outcomes = dict(context.chaos.outcomes())
+    kinds = [outcomes[q] for q in names]
     assert context.world.now - started < 0.3
     assert any(isinstance(o, NotRun) for o in kinds), kinds
     assert any(isinstance(o, Answered) for o in kinds), kinds
@@ -197,7 +199,7 @@
 @when("callers go on for {seconds:d} seconds")
 def callers_go_on(context, seconds):
     for _ in range(seconds * 4):
-        _call_everywhere(context, 2)
+        _call_all_processes(context, 2)
         context.chaos.advance(0.21)
 
 
@@ -206,8 +208,8 @@
     limit = context.drained_at + seconds
     late = [s for s in context.world.served if s[2] == context.drained and s[0] > limit]
     assert not late, (context.drained_at, late[:3])
-    after = [s for s in context.world.served if s[0] > limit]
-    assert after, "nothing was served elsewhere either"
+    served_elsewhere = [s for s in context.world.served if s[0] > limit]
+    assert served_elsewhere, "nothing was served elsewhere either"
 
 
 @then("the replica runs elsewhere")
@@ -245,13 +247,13 @@
 
 
 @then("none that was told not to have run has run, and some were told unknown")
-def unknown_is_said(context):
+def some_outcomes_unknown(context):
     context.chaos.check_not_run()
-    assert context.told["Unknown"], context.told
+    assert context.outcome_counts["Unknown"], context.outcome_counts
 
 
 @when('the key "{key}" is used with a clock {ahead:d} seconds ahead')
-def key_from_ahead(context, key, ahead):
+def key_from_fast_clock(context, key, ahead):
     node = context.world.nodes["zurich-1"]
     context.world.request(
         "zurich-1", "acc", "unlock", key=key, issued_at=node.wall + ahead
