--- a/features/promise_4_own_whole_answer.feature
+++ b/features/promise_4_own_whole_answer.feature
@@ -1,5 +1,5 @@
 Feature: Promise 4: each caller gets the whole answer to its own request
-  A runner that misbehaves on purpose stands behind the real HTTP adapter.
+  A runner that misbehaves in a given way is called through the real HTTP adapter.
 
   Scenario Outline: A runner that <misbehaves>
     Given a runner that "<misbehaves>"
@@ -17,7 +17,7 @@
       | does not listen               | not run      |
       | sends more than the limit     | may have run |
 
-  Scenario: Callers at once, each with a body of its own
+  Scenario: Concurrent callers, each with a different body
     Given one data hall with three daemons and two boxes
     And the account "velotrace" with its token
     And the service "unlock" with 2 replicas in "zurich"
--- a/features/promise_9_table_never_reverts.feature
+++ b/features/promise_9_table_never_reverts.feature
@@ -1,5 +1,5 @@
 Feature: Promise 9: an accepted change is in force everywhere and never reverts
-  A change counts at its place in the configuration stream and nowhere else.
+  A change takes effect by its position in the configuration stream alone.
 
   Scenario: Two operators race for a cell
     Given halls of 2 processes and 1 boxes among fakes
@@ -12,7 +12,7 @@
     When a cell is set at zurich while bern is cut off
     Then bern lacks the cell, and has it 2 seconds after it heals
 
-  Scenario: Every process is replaced after old records have expired
+  Scenario: Every process is replaced after old records have been dropped
     Given halls of 2 processes and 1 boxes among fakes
     When two operators change the same cell at the same moment
     And 10 other cells are set
--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -78,7 +78,7 @@
 
 @then("the batch tasks ran on without a restart")
 def still_running(context):
-    # Longer than a lease, so that renewals by the successor are what counts.
+    # Longer than a lease, so that only renewals by the successor keep tasks running.
     time.sleep(12.0)
     assert len(_running(context, context.long_job)) == 4
     assert set(_runs(context, context.long_job).values()) == {1}
@@ -117,7 +117,7 @@
     context.cluster.signal(context.signalled_owner, signal.SIGCONT)
     wait_for(
         lambda: _owner(context, context.signalled_owner) != context.signalled_owner,
-        "the old owner knows that it was followed",
+        "the old owner knows that another owns the shard",
     )
 
 
--- a/features/steps/hall_steps.py
+++ b/features/steps/hall_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over data halls evacuated on the product's own interface."""
+"""Steps that evacuate a data hall through the interface for operators."""
 
 import json
 
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests over reducers among fakes."""
+"""Steps that send requests to reducers on a simulated network, in virtual time."""
 
 import collections
 
@@ -29,7 +29,7 @@
         for _ in range(11):
             _call_all_processes(context, 10)
             context.chaos.advance(0.9)
-        # A burst that is on its way when the frozen process wakes.
+        # A burst that is in flight when the frozen process wakes.
         context.chaos.advance(
             context.world.nodes[name].frozen_until - context.world.now
         )
@@ -41,7 +41,8 @@
 
 @then("no endpoint served more requests at a time than it has slots")
 def no_slot_exceeded(context):
-    # FakeBox.begin_request raises on the first one; enough must have been served.
+    # FakeBox.begin_request raises on the first violation. The count shows that
+    # enough requests were served for one to occur.
     assert len(context.world.served) > 500, len(context.world.served)
 
 
@@ -81,7 +82,7 @@
     )
 
 
-@then("none that was told not to have run has run, and some were told so")
+@then("no request that is answered as not run has run, and some are answered so")
 def not_run_is_true(context):
     context.chaos.check_not_run()
     assert context.outcome_counts["NotRun"], (
@@ -90,12 +91,12 @@
     )
 
 
-@when("half of what the network carries is lost")
+@when("the network loses half of all messages")
 def half_lost(context):
     context.world.faults = Faults(lost=0.5)
 
 
-@when("the boxes that serve lose all that they run")
+@when("the serving boxes lose all their tasks")
 def serving_boxes_fail(context):
     endpoints = [e for _, e, _ in context.world.served]
     assert endpoints
@@ -130,7 +131,7 @@
     assert context.world.ledger.executed[key] <= 1, context.world.ledger.executed[key]
 
 
-@then("one caller was answered and no other was told that it ran or will run")
+@then("one caller is answered, and all others end as unknown or not run")
 def exactly_one_answered(context):
     outcomes = dict(context.chaos.outcomes())
     kinds = collections.Counter(type(outcomes[q]).__name__ for q in context.called)
@@ -140,7 +141,7 @@
     ), kinds
 
 
-@when('the key "{key}" is tried again with the time at which it was made')
+@when('the key "{key}" is used again with its original time of issue')
 def retry_key(context, key):
     event = next(e for e in context.world.arrivals.values() if e.key == key)
     name = next(n for n, x in sorted(context.world.nodes.items()) if x.alive)
@@ -150,7 +151,7 @@
     context.chaos.advance(3.0)
 
 
-@then("the answer is unknown, at once")
+@then("the outcome is unknown, at once")
 def unknown_at_once(context):
     outcome = dict(context.chaos.outcomes())[context.retried_request]
     assert isinstance(outcome, Unknown), outcome
@@ -165,7 +166,7 @@
     context.chaos.advance(12.0)
 
 
-@then("every key of a hall that is cut off is refused as not run, at once")
+@then("each key that a cut-off hall decides is refused as not run, at once")
 def refused_at_once(context):
     started = context.world.now
     names = []
@@ -196,14 +197,14 @@
     context.drained_at = context.world.now
 
 
-@when("callers go on for {seconds:d} seconds")
+@when("callers keep calling for {seconds:d} seconds")
 def callers_go_on(context, seconds):
     for _ in range(seconds * 4):
         _call_all_processes(context, 2)
         context.chaos.advance(0.21)
 
 
-@then("the box got no new work {seconds:g} seconds after the list showed it")
+@then("the box gets no new work from {seconds:g} seconds after it is listed as leaving")
 def no_new_work(context, seconds):
     limit = context.drained_at + seconds
     late = [s for s in context.world.served if s[2] == context.drained and s[0] > limit]
@@ -241,12 +242,12 @@
     context.chaos.advance(5.0)
 
 
-@when("every connection breaks just after an endpoint began")
+@when("every connection breaks just after an endpoint begins the work")
 def broken(context):
     context.world.faults = Faults(broken=1.0)
 
 
-@then("none that was told not to have run has run, and some were told unknown")
+@then("no request that is answered as not run has run, and some are unknown")
 def some_outcomes_unknown(context):
     context.chaos.check_not_run()
     assert context.outcome_counts["Unknown"], context.outcome_counts
