--- a/src/granitetrestle/ownership.py
+++ b/src/granitetrestle/ownership.py
@@ -285,14 +285,15 @@
         """Return the time after which the previous owner sends no more starts."""
         return self._acquisitions.get(shard, (0.0, 0.0))[1]
 
-    def holder_was_replaced(self, before: ShardState) -> bool:
+    def holder_was_replaced(self, previous: ShardState) -> bool:
         """Return whether an earlier owner's process has provably been replaced.
 
         The platform never runs two processes under one node's name.
         """
-        member = self._members.get(before.holder)
+        member = self._members.get(previous.holder)
         return (
-            member is not None and member.beat.incarnation != before.holder_incarnation
+            member is not None
+            and member.beat.incarnation != previous.holder_incarnation
         )
 
     def live_members(self, now: float) -> list[str]:
