--- a/src/granitetrestle/borrowing.py
+++ b/src/granitetrestle/borrowing.py
@@ -138,7 +138,7 @@
     ) -> bool:
         """Return whether a report to the shard's owner is due.
 
-        :param blind: this process can't read the log at present.
+        :param log_is_stale: this process can't read the log at present.
         """
         state = self._shards.get(shard)
         if state is None or epoch != state.epoch:
--- a/src/granitetrestle/ownership.py
+++ b/src/granitetrestle/ownership.py
@@ -286,7 +286,7 @@
         return self._acquisitions.get(shard, (0.0, 0.0))[1]
 
     def holder_was_replaced(self, previous: ShardState) -> bool:
-        """Return whether an earlier owner's process has provably been replaced.
+        """Return whether a previous owner's process has provably been replaced.
 
         The platform never runs two processes under one node's name.
         """
