--- a/features/steps/runner_steps.py
+++ b/features/steps/runner_steps.py
@@ -7,7 +7,7 @@
 
 from granitetrestle.calls import Caller
 from granitetrestle.calls import CallFailure
-from granitetrestle.engine import REQUEST_ID
+from granitetrestle.engine import REQUEST_ID_HEADER
 
 BODY = b"the answer"
 OWN_ID = b"request-1:1"
@@ -58,7 +58,7 @@
         else:
             tasks.start_soon(listener.serve, serve)
         reply = await Caller().call(
-            f"127.0.0.1:{port}", "/", [(REQUEST_ID, OWN_ID)], b"{}", 0.5
+            f"127.0.0.1:{port}", "/", [(REQUEST_ID_HEADER, OWN_ID)], b"{}", 0.5
         )
         tasks.cancel_scope.cancel()
     return reply
@@ -77,6 +77,6 @@
         return
     # The engine drops a reply that names another request.
     if not isinstance(reply, CallFailure):
-        assert reply.header(REQUEST_ID) != OWN_ID, reply
+        assert reply.header(REQUEST_ID_HEADER) != OWN_ID, reply
         return
     assert reply.proof.may_have_run == (outcome == "may have run"), reply
--- a/src/granitetrestle/api.py
+++ b/src/granitetrestle/api.py
@@ -218,7 +218,7 @@
         check_edits(body.edits)
         name = f"edit-{uuid.uuid4().hex}"
         event = TableEditRequested(time.monotonic(), name, tuple(body.edits))
-        accepted = raise_unless_accepted(await self._engine.ask(name, event))
+        accepted = raise_unless_accepted(await self._engine.submit_change(name, event))
         return _json(AcceptedView(accepted.subject, accepted.offset))
 
     async def _submit(self, request: Request) -> Response:
@@ -232,7 +232,7 @@
         name = f"job-{uuid.uuid4().hex}"
         job = f"{self._engine.settings.hall}.{uuid.uuid4().hex[:12]}"
         event = JobSubmitRequested(time.monotonic(), name, job, account, spec)
-        accepted = raise_unless_accepted(await self._engine.ask(name, event))
+        accepted = raise_unless_accepted(await self._engine.submit_change(name, event))
         self._engine.telemetry.log.info(
             "job_accepted",
             account=account,
@@ -279,7 +279,7 @@
             return await self._relay_job(request)
         name = f"cancel-{uuid.uuid4().hex}"
         event = JobCancelRequested(time.monotonic(), name, job.job, job.account)
-        accepted = raise_unless_accepted(await self._engine.ask(name, event))
+        accepted = raise_unless_accepted(await self._engine.submit_change(name, event))
         return _json(AcceptedView(accepted.subject, accepted.offset))
 
     async def _explain(self, request: Request) -> Response:
@@ -361,7 +361,7 @@
         name = f"drain-{uuid.uuid4().hex}"
         box = request.path_params["box"]
         event = BoxDrainRequested(time.monotonic(), name, box, body.drained)
-        accepted = raise_unless_accepted(await self._engine.ask(name, event))
+        accepted = raise_unless_accepted(await self._engine.submit_change(name, event))
         return _json(AcceptedView(accepted.subject, accepted.offset))
 
     async def _evacuate(self, request: Request) -> Response:
@@ -373,7 +373,7 @@
             return await self._relay_to_hall(request, hall, content)
         name = f"evacuate-{uuid.uuid4().hex}"
         event = HallEvacuateRequested(time.monotonic(), name, body.evacuated)
-        accepted = raise_unless_accepted(await self._engine.ask(name, event))
+        accepted = raise_unless_accepted(await self._engine.submit_change(name, event))
         return _json(AcceptedView(accepted.subject, accepted.offset))
 
     async def _status(self, request: Request) -> Response:
--- a/src/granitetrestle/boxlink.py
+++ b/src/granitetrestle/boxlink.py
@@ -95,7 +95,7 @@
         self._platform = platform
         self._caller = caller
 
-    async def listed(self, hall: str) -> tuple[BoxInfo, ...] | None:
+    async def list_boxes(self, hall: str) -> tuple[BoxInfo, ...] | None:
         """Return the hall's boxes, or ``None`` if the platform gives no answer."""
         reply = await self._caller.call(
             self._platform,
@@ -113,7 +113,7 @@
 
         :returns: the report, or a failure that says whether anything left.
         """
-        body = WireExchange([_wire(command) for command in effect.commands])
+        body = WireExchange([_to_wire(command) for command in effect.commands])
         sent_wall = time.time()
         reply = await self._caller.call(
             effect.address,
@@ -123,16 +123,16 @@
         )
         report = _decode(reply, WireReport)
         if report is not None:
-            return _answered(effect.box, sent_wall, report)
+            return _box_answered(effect.box, sent_wall, report)
         unsent = isinstance(reply, CallFailure) and not reply.proof.may_have_run
-        return _failed(effect, sent_wall, unsent)
+        return _box_failed(effect, sent_wall, unsent)
 
 
-def _decode(reply: Reply | CallFailure, kind: type[T]) -> T | None:
+def _decode(reply: Reply | CallFailure, body_type: type[T]) -> T | None:
     if isinstance(reply, CallFailure) or reply.status != 200:
         return None
     try:
-        return msgspec.json.decode(reply.body, type=kind)
+        return msgspec.json.decode(reply.body, type=body_type)
     except msgspec.DecodeError:
         return None
 
@@ -152,16 +152,16 @@
     )
 
 
-def _wire(command: Command) -> WireCommand:
+def _to_wire(command: Command) -> WireCommand:
     return WireCommand(*command)
 
 
-def _failed(effect: CommandBox, sent_wall: float, unsent: bool) -> BoxFailed:
+def _box_failed(effect: CommandBox, sent_wall: float, unsent: bool) -> BoxFailed:
     now, wall = time.monotonic(), time.time()
     return BoxFailed(now, wall, effect.box, sent_wall, effect.commands, unsent)
 
 
-def _answered(box: str, sent_wall: float, report: WireReport) -> BoxAnswered:
+def _box_answered(box: str, sent_wall: float, report: WireReport) -> BoxAnswered:
     results = tuple(
         CommandResult(r.task, r.attempt, r.op, r.error) for r in report.results
     )
--- a/src/granitetrestle/callpath.py
+++ b/src/granitetrestle/callpath.py
@@ -13,12 +13,12 @@
 from .access import Access
 from .access import Role
 from .calls import Reply
-from .engine import DEADLINE_MS
-from .engine import HOPS
-from .engine import KEY_GRANTED
-from .engine import OUTCOME
-from .engine import PEER_TOKEN
-from .engine import REQUEST_ID
+from .engine import DEADLINE_MS_HEADER
+from .engine import HOPS_HEADER
+from .engine import KEY_GRANTED_HEADER
+from .engine import OUTCOME_HEADER
+from .engine import PEER_TOKEN_HEADER
+from .engine import REQUEST_ID_HEADER
 from .engine import CallBody
 from .engine import Engine
 from .errors import AccessDenied
@@ -41,10 +41,10 @@
 Receive: t.TypeAlias = t.Callable[[], t.Awaitable[t.MutableMapping[str, t.Any]]]
 Send: t.TypeAlias = t.Callable[[t.MutableMapping[str, t.Any]], t.Awaitable[None]]
 
-MAX_BODY = 64 * 1024
-MAX_KEY = 128
+MAX_BODY_BYTES = 64 * 1024
+MAX_KEY_LENGTH = 128
 DEFAULT_DEADLINE_S = 2.0
-PASSED_ON: t.Final = frozenset(
+FORWARDED_HEADERS: t.Final = frozenset(
     {
         b"content-type",
         b"idempotency-key",
@@ -87,33 +87,35 @@
         ) as span:
             try:
                 body = await _read_body(receive)
-                event = self._event(scope, headers)
+                event = self._parse_request(scope, headers)
                 if span.is_recording():
                     span.set_attribute("account", event.account)
                     span.set_attribute("request", event.request)
-                passed = _passed_on(headers, event.account)
-                call = CallBody(scope["path"], passed, body)
+                forwarded = _forwarded_headers(headers, event.account)
+                call = CallBody(scope["path"], forwarded, body)
                 outcome, reply = await self._engine.call(
-                    event, call, functools.partial(_hung_up, receive)
+                    event, call, functools.partial(_wait_for_disconnect, receive)
                 )
-                self._log(event, outcome)
+                self._log_outcome(event, outcome)
             except GranitetrestleError as error:
-                request_id = headers.get(REQUEST_ID, b"")
-                await _answer_error(send, error, request_id, b"rejected")
+                request_id = headers.get(REQUEST_ID_HEADER, b"")
+                await _respond_with_error(send, error, request_id, b"rejected")
                 return
-        await self._answer(send, event.request, outcome, reply)
+        await self._respond(send, event.request, outcome, reply)
         telemetry.metrics.timing("request", time.perf_counter() - started)
 
-    def _event(self, scope: Scope, headers: dict[bytes, bytes]) -> RequestArrived:
+    def _parse_request(
+        self, scope: Scope, headers: dict[bytes, bytes]
+    ) -> RequestArrived:
         service = scope["path"].split("/")[3]
         if not SERVICE_PATTERN.fullmatch(service):
             raise InvalidInput("bad service name")
-        peer = self._access.is_peer(headers.get(PEER_TOKEN, b""))
+        peer = self._access.is_peer(headers.get(PEER_TOKEN_HEADER, b""))
         now = time.monotonic()
         key = headers.get(b"idempotency-key", b"").decode("latin-1")
-        if len(key) > MAX_KEY:
-            raise InvalidInput(f"a key has up to {MAX_KEY} characters")
-        issued_at = _number(headers, b"idempotency-issued-at", 0.0)
+        if len(key) > MAX_KEY_LENGTH:
+            raise InvalidInput(f"a key has up to {MAX_KEY_LENGTH} characters")
+        issued_at = _numeric_header(headers, b"idempotency-issued-at", 0.0)
         if key and not issued_at:
             raise InvalidInput(
                 "a key needs Idempotency-Issued-At",
@@ -129,21 +131,24 @@
             now=now,
             wall=wall,
             request=_request_id(headers, peer),
-            account=self._account(headers, peer),
+            account=self._caller_account(headers, peer),
             service=service,
             deadline=now + self._deadline_s(headers),
             repeatable=headers.get(b"x-repeatable", b"") == b"yes" and not key,
             key=key,
             issued_at=issued_at,
-            hops=int(_number(headers, HOPS, 0.0)) if peer else 0,
-            key_granted=peer and headers.get(KEY_GRANTED, b"") == b"yes",
+            hops=int(_numeric_header(headers, HOPS_HEADER, 0.0)) if peer else 0,
+            key_granted=peer and headers.get(KEY_GRANTED_HEADER, b"") == b"yes",
         )
 
     def _deadline_s(self, headers: dict[bytes, bytes]) -> float:
-        asked = _number(headers, DEADLINE_MS, DEFAULT_DEADLINE_S * 1000.0) / 1000.0
-        return min(asked, self._engine.reducer.max_request_s)
+        requested_s = (
+            _numeric_header(headers, DEADLINE_MS_HEADER, DEFAULT_DEADLINE_S * 1000.0)
+            / 1000.0
+        )
+        return min(requested_s, self._engine.reducer.max_request_s)
 
-    def _account(self, headers: dict[bytes, bytes], peer: bool) -> str:
+    def _caller_account(self, headers: dict[bytes, bytes], peer: bool) -> str:
         if peer:
             return headers.get(ACCOUNT, b"").decode("latin-1")
         authorization = headers.get(b"authorization", b"").decode("latin-1")
@@ -152,7 +157,7 @@
             raise AccessDenied("services are called by accounts")
         return caller.account
 
-    def _log(self, event: RequestArrived, outcome: Outcome) -> None:
+    def _log_outcome(self, event: RequestArrived, outcome: Outcome) -> None:
         log = self._engine.telemetry.log
         # What may have run is worth a line each; the rest is counted.
         write = log.info if isinstance(outcome, Unknown) else log.debug
@@ -165,7 +170,7 @@
             trace=trace_id(),
         )
 
-    async def _answer(
+    async def _respond(
         self, send: Send, request: str, outcome: Outcome, reply: Reply | None
     ) -> None:
         request_id = request.encode()
@@ -174,22 +179,27 @@
             case Answered():
                 assert reply is not None
                 content_type = reply.header(b"content-type") or b"text/plain"
-                headers = [(b"content-type", content_type), (OUTCOME, b"answered")]
+                headers = [
+                    (b"content-type", content_type),
+                    (OUTCOME_HEADER, b"answered"),
+                ]
                 await _send(send, reply.status, headers, request_id, reply.body)
             case NotRun():
                 status = 429 if outcome.reason.value == "account_limit" else 503
                 headers = [
-                    (OUTCOME, b"not_run"),
+                    (OUTCOME_HEADER, b"not_run"),
                     (b"retry-after", f"{outcome.retry_after_s:.3f}".encode()),
                 ]
                 body = _outcome_body("not_run", outcome)
                 await _send(send, status, headers, request_id, body)
             case Unknown():
                 body = _outcome_body("unknown", outcome)
-                await _send(send, 504, [(OUTCOME, b"unknown")], request_id, body)
+                await _send(send, 504, [(OUTCOME_HEADER, b"unknown")], request_id, body)
             case Rejected():
                 body = _outcome_body("rejected", outcome)
-                await _send(send, 400, [(OUTCOME, b"rejected")], request_id, body)
+                await _send(
+                    send, 400, [(OUTCOME_HEADER, b"rejected")], request_id, body
+                )
             case _:
                 raise AssertionError(outcome)
 
@@ -207,19 +217,19 @@
 
 
 def _request_id(headers: dict[bytes, bytes], peer: bool) -> str:
-    given = headers.get(REQUEST_ID, b"").decode("latin-1")
+    peer_request_id = headers.get(REQUEST_ID_HEADER, b"").decode("latin-1")
     # A caller's own id could collide with another account's; a peer's can't.
-    return given if peer and given else uuid.uuid4().hex
+    return peer_request_id if peer and peer_request_id else uuid.uuid4().hex
 
 
-def _passed_on(
+def _forwarded_headers(
     headers: dict[bytes, bytes], account: str
 ) -> tuple[tuple[bytes, bytes], ...]:
-    kept = [(name, headers[name]) for name in PASSED_ON if name in headers]
+    kept = [(name, headers[name]) for name in FORWARDED_HEADERS if name in headers]
     return ((ACCOUNT, account.encode()), *kept)
 
 
-def _number(headers: dict[bytes, bytes], name: bytes, default: float) -> float:
+def _numeric_header(headers: dict[bytes, bytes], name: bytes, default: float) -> float:
     text = headers.get(name)
     if text is None:
         return default
@@ -232,7 +242,7 @@
     return value
 
 
-async def _hung_up(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
 
@@ -246,8 +256,8 @@
             raise InvalidInput("the caller hung up")
         chunk = message.get("body", b"")
         size += len(chunk)
-        if size > MAX_BODY:
-            raise InvalidInput(f"a body has up to {MAX_BODY} bytes")
+        if size > MAX_BODY_BYTES:
+            raise InvalidInput(f"a body has up to {MAX_BODY_BYTES} bytes")
         chunks.append(chunk)
         if not message.get("more_body", False):
             return b"".join(chunks)
@@ -262,7 +272,7 @@
 ) -> None:
     headers = [
         *headers,
-        (REQUEST_ID, request_id),
+        (REQUEST_ID_HEADER, request_id),
         (b"content-length", str(len(body)).encode()),
     ]
     # The caller may be gone; there is nobody left to tell.
@@ -273,8 +283,8 @@
         await send({"type": "http.response.body", "body": body})
 
 
-async def _answer_error(
+async def _respond_with_error(
     send: Send, error: GranitetrestleError, request_id: bytes, outcome: bytes
 ) -> None:
-    headers = [(b"content-type", b"application/json"), (OUTCOME, outcome)]
+    headers = [(b"content-type", b"application/json"), (OUTCOME_HEADER, outcome)]
     await _send(send, error.http_status, headers, request_id, error_body(error))
--- a/src/granitetrestle/engine.py
+++ b/src/granitetrestle/engine.py
@@ -53,18 +53,18 @@
 
 __all__ = ["CallBody", "Engine"]
 
-TICK_S = 0.1
-MIN_TICK_S = 0.005
-HALL_WAIT_S = 1.0
-CONFIG_WAIT_S = 5.0
-LIST_EVERY_S = 2.0
-PRUNE_EVERY_S = 0.5
-PEER_TOKEN = b"x-granitetrestle-peer"
-HOPS = b"x-granitetrestle-hops"
-KEY_GRANTED = b"x-granitetrestle-key-granted"
-OUTCOME = b"x-granitetrestle-outcome"
-REQUEST_ID = b"x-request-id"
-DEADLINE_MS = b"x-deadline-ms"
+MAX_TICK_INTERVAL_S = 0.1
+MIN_TICK_INTERVAL_S = 0.005
+HALL_READ_WAIT_S = 1.0
+CONFIG_READ_WAIT_S = 5.0
+BOX_LIST_INTERVAL_S = 2.0
+CONNECTION_PRUNE_INTERVAL_S = 0.5
+PEER_TOKEN_HEADER = b"x-granitetrestle-peer"
+HOPS_HEADER = b"x-granitetrestle-hops"
+KEY_GRANTED_HEADER = b"x-granitetrestle-key-granted"
+OUTCOME_HEADER = b"x-granitetrestle-outcome"
+REQUEST_ID_HEADER = b"x-request-id"
+DEADLINE_MS_HEADER = b"x-deadline-ms"
 
 
 class CallBody(t.NamedTuple):
@@ -78,19 +78,19 @@
 class _Waiter:
     """Somebody waiting for the outcome of a request."""
 
-    __slots__ = ("body", "context", "news", "outcome", "reply", "todo")
+    __slots__ = ("body", "context", "next_call", "outcome", "reply", "wakeup")
 
     def __init__(self, body: CallBody | None) -> None:
         self.body = body
         self.context = otel_context.get_current()
-        self.news = anyio.Event()
+        self.wakeup = anyio.Event()
         self.outcome: Outcome | None = None
         self.reply: Reply | None = None
-        self.todo: Dispatch | Forward | None = None
+        self.next_call: Dispatch | Forward | None = None
 
     def wake(self) -> None:
         """Let the waiting task look again."""
-        self.news.set()
+        self.wakeup.set()
 
 
 class Engine:
@@ -129,7 +129,11 @@
 
     def _make_writer(self, stream: str) -> LogWriter:
         return LogWriter(
-            self._log_client, stream, self._incarnation, self._appended, time.time_ns
+            self._log_client,
+            stream,
+            self._incarnation,
+            self._record_append_spans,
+            time.time_ns,
         )
 
     @property
@@ -161,24 +165,24 @@
         self._tasks = tasks
         tasks.start_soon(self._tick_loop)
         tasks.start_soon(self._peer_loop)
-        tasks.start_soon(self._list_loop)
+        tasks.start_soon(self._box_list_loop)
         tasks.start_soon(self._prune_loop)
         for stream in self._streams:
-            tasks.start_soon(self._feed(stream).run)
+            tasks.start_soon(self._make_feed(stream).run)
         for writer in self._writers.values():
             tasks.start_soon(writer.run)
 
-    def _feed(self, stream: str) -> LogFeed:
+    def _make_feed(self, stream: str) -> LogFeed:
         # The hall's stream shows who is alive, so silence there must be seen.
-        wait_s = HALL_WAIT_S if stream == self._own_stream else CONFIG_WAIT_S
+        wait_s = HALL_READ_WAIT_S if stream == self._own_stream else CONFIG_READ_WAIT_S
         return LogFeed(
             self._log_client, stream, wait_s, self._reducer, self, self._telemetry.log
         )
 
-    def log_read(self, event: LogRead) -> None:
+    def handle_log_read(self, event: LogRead) -> None:
         """Apply a read of the log, and let the writer see what stands there."""
         self.dispatch(event)
-        self._writers[event.stream].noticed(event.records, event.tail)
+        self._writers[event.stream].observe(event.records, event.tail)
         if event.records:
             # News may be a job to start; it need not wait for the next tick.
             self._tick()
@@ -190,19 +194,19 @@
     def dispatch(self, event: Event) -> None:
         """Apply an event and carry out its effects."""
         for effect in self._reducer.step(event):
-            self._carry_out(effect)
+            self._execute(effect)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case AppendFacts():
-                self._keep_context(effect.request)
+                self._save_trace_context(effect.request)
                 self._writers[effect.stream].put(effect)
             case SendPeer():
                 self._send_peer(effect.node, effect.message)
             case CommandBox():
-                self._start(self._exchange, effect)
+                self._start(self._exchange_with_box, effect)
             case Dispatch() | Forward():
-                self._hand_over(effect)
+                self._assign_call(effect)
             case Conclude():
                 self._conclude(effect)
             case Withdraw():
@@ -212,7 +216,7 @@
                 now = time.monotonic()
                 self.dispatch(FactsWithdrawn(now, effect.request, unsent))
             case LogEvent():
-                self._note(effect)
+                self._log_note(effect)
 
     def _start(
         self, function: t.Callable[..., t.Coroutine[t.Any, t.Any, None]], *args: t.Any
@@ -220,27 +224,29 @@
         assert self._tasks is not None
         self._tasks.start_soon(function, *args)
 
-    def _hand_over(self, effect: Dispatch | Forward) -> None:
+    def _assign_call(self, effect: Dispatch | Forward) -> None:
         """Let the request's own task make the call; it needs no second one."""
         waiter = self._waiters.get(effect.request)
         if waiter is not None:
-            waiter.todo = effect
+            waiter.next_call = effect
             waiter.wake()
 
     def _send_peer(self, node: str, message: Message) -> None:
         if node == self._settings.node:
-            self._start(self._loop_back, message)
+            self._start(self._deliver_to_self, message)
         else:
             self._peers.send(node, message)
 
-    async def _loop_back(self, message: Message) -> None:
-        self._peer_event(self._settings.node, self._incarnation, message)
+    async def _deliver_to_self(self, message: Message) -> None:
+        self._dispatch_peer_message(self._settings.node, self._incarnation, message)
 
-    def _peer_event(self, sender: str, incarnation: str, message: Message) -> None:
+    def _dispatch_peer_message(
+        self, sender: str, incarnation: str, message: Message
+    ) -> None:
         now, wall = time.monotonic(), time.time()
         self.dispatch(PeerMessage(now, wall, sender, incarnation, message))
 
-    def _note(self, note: LogEvent) -> None:
+    def _log_note(self, note: LogEvent) -> None:
         self._telemetry.log.info(
             note.event, subject=note.subject, detail=note.detail, epoch=note.epoch
         )
@@ -252,7 +258,7 @@
             waiter.outcome = effect.outcome
             waiter.wake()
 
-    async def ask(self, request: str, event: Event) -> Outcome:
+    async def submit_change(self, request: str, event: Event) -> Outcome:
         """Apply a change and wait for its outcome."""
         outcome, _ = await self._wait(request, event, None, None)
         return outcome
@@ -261,7 +267,7 @@
         self,
         event: RequestArrived,
         body: CallBody,
-        hung_up: t.Callable[[], t.Awaitable[None]],
+        wait_for_disconnect: t.Callable[[], t.Awaitable[None]],
     ) -> tuple[Outcome, Reply | None]:
         """Serve a caller's request; a reply comes with ``Answered`` alone.
 
@@ -269,46 +275,46 @@
             request waits for a slot, since a call once sent runs to its end.
         :raises CallerGone: if the caller hung up before its request was sent.
         """
-        return await self._wait(event.request, event, body, hung_up)
+        return await self._wait(event.request, event, body, wait_for_disconnect)
 
     async def _wait(
         self,
         request: str,
         event: Event,
         body: CallBody | None,
-        hung_up: t.Callable[[], t.Awaitable[None]] | None,
+        wait_for_disconnect: t.Callable[[], t.Awaitable[None]] | None,
     ) -> tuple[Outcome, Reply | None]:
         waiter = self._waiters[request] = _Waiter(body)
         try:
             self.dispatch(event)
             while waiter.outcome is None:
-                await self._next(waiter, hung_up)
+                await self._next_step(waiter, wait_for_disconnect)
         finally:
             del self._waiters[request]
             if waiter.outcome is None:
                 self.dispatch(CallerLeft(time.monotonic(), request))
         return waiter.outcome, waiter.reply
 
-    async def _next(
+    async def _next_step(
         self,
         waiter: _Waiter,
-        hung_up: t.Callable[[], t.Awaitable[None]] | None,
+        wait_for_disconnect: t.Callable[[], t.Awaitable[None]] | None,
     ) -> None:
-        effect, waiter.todo = waiter.todo, None
+        effect, waiter.next_call = waiter.next_call, None
         if isinstance(effect, Dispatch):
             await self._call_endpoint(waiter, effect)
         elif isinstance(effect, Forward):
             await self._call_peer(waiter, effect)
-        elif not waiter.news.is_set():
-            await _news_or_hang_up(waiter, hung_up)
+        elif not waiter.wakeup.is_set():
+            await _wait_for_wakeup(waiter, wait_for_disconnect)
         else:
-            waiter.news = anyio.Event()
+            waiter.wakeup = anyio.Event()
 
     async def _call_endpoint(self, waiter: _Waiter, effect: Dispatch) -> None:
         assert waiter.body is not None
         service = waiter.body.path.split("/")[3]
         headers = list(waiter.body.headers)
-        await self._call(
+        await self._send_call(
             waiter,
             effect.request,
             effect.serial,
@@ -325,18 +331,18 @@
         address = self._http.get(effect.node)
         if address is None:
             proof = Proof(False, f"no address of {effect.node}")
-            self._failed(effect.request, effect.serial, proof)
+            self._dispatch_failure(effect.request, effect.serial, proof)
             return
         left_ms = max(1, int((effect.peer_deadline - time.monotonic()) * 1000))
         headers = [
-            (PEER_TOKEN, self._settings.peer_token.encode()),
-            (HOPS, str(effect.hops).encode()),
-            (DEADLINE_MS, str(left_ms).encode()),
+            (PEER_TOKEN_HEADER, self._settings.peer_token.encode()),
+            (HOPS_HEADER, str(effect.hops).encode()),
+            (DEADLINE_MS_HEADER, str(left_ms).encode()),
             *waiter.body.headers,
         ]
         if effect.key_granted:
-            headers.append((KEY_GRANTED, b"yes"))
-        await self._call(
+            headers.append((KEY_GRANTED_HEADER, b"yes"))
+        await self._send_call(
             waiter,
             effect.request,
             effect.serial,
@@ -348,7 +354,7 @@
             ("peer call", effect.node),
         )
 
-    async def _call(
+    async def _send_call(
         self,
         waiter: _Waiter,
         request: str,
@@ -358,57 +364,61 @@
         headers: list[tuple[bytes, bytes]],
         deadline: float,
         fresh: bool,
-        hop: tuple[str, str],
+        span_target: tuple[str, str],
     ) -> None:
         assert waiter.body is not None
         with self._telemetry.tracer.start_as_current_span(
-            hop[0], context=waiter.context, kind=trace.SpanKind.CLIENT
+            span_target[0], context=waiter.context, kind=trace.SpanKind.CLIENT
         ) as span:
             if span.is_recording():
-                span.set_attribute("peer", hop[1])
+                span.set_attribute("peer", span_target[1])
                 span.set_attribute("request", request)
             carrier: dict[str, str] = {}
             PROPAGATOR.inject(carrier)
             headers += [(k.encode(), v.encode()) for k, v in carrier.items()]
             # Each try has an id of its own: a late one must not meet a new one.
-            headers.append((REQUEST_ID, _try_id(request, serial)))
+            headers.append((REQUEST_ID_HEADER, _attempt_id(request, serial)))
             timeout_s = deadline - time.monotonic()
             outcome = await self._caller.call(
                 address, path, headers, waiter.body.body, timeout_s, fresh
             )
-        self._called(request, serial, waiter, outcome)
+        self._handle_reply(request, serial, waiter, outcome)
 
-    def _called(
+    def _handle_reply(
         self, request: str, serial: int, waiter: _Waiter, outcome: Reply | CallFailure
     ) -> None:
         if isinstance(outcome, CallFailure):
-            self._failed(request, serial, outcome.proof)
+            self._dispatch_failure(request, serial, outcome.proof)
             return
-        if outcome.header(REQUEST_ID) != _try_id(request, serial):
-            self._failed(request, serial, Proof(True, "answer to another request"))
+        if outcome.header(REQUEST_ID_HEADER) != _attempt_id(request, serial):
+            self._dispatch_failure(
+                request, serial, Proof(True, "answer to another request")
+            )
             return
-        verdict = outcome.header(OUTCOME)
-        if verdict in (b"not_run", b"unknown"):
+        reported_outcome = outcome.header(OUTCOME_HEADER)
+        if reported_outcome in (b"not_run", b"unknown"):
             text = outcome.body.decode(errors="replace")[:300]
-            self._failed(request, serial, Proof(verdict == b"unknown", text))
+            self._dispatch_failure(
+                request, serial, Proof(reported_outcome == b"unknown", text)
+            )
             return
         waiter.reply = outcome
         self.dispatch(AnswerArrived(time.monotonic(), request, serial))
 
-    def _failed(self, request: str, serial: int, proof: Proof) -> None:
+    def _dispatch_failure(self, request: str, serial: int, proof: Proof) -> None:
         self._telemetry.metrics.count("call.failed")
         self.dispatch(AnswerFailed(time.monotonic(), request, serial, proof))
 
-    async def _exchange(self, effect: CommandBox) -> None:
+    async def _exchange_with_box(self, effect: CommandBox) -> None:
         self.dispatch(await self._boxes.exchange(effect))
 
-    def _keep_context(self, request: str) -> None:
+    def _save_trace_context(self, request: str) -> None:
         # The read-back may conclude a request before its append is answered.
         waiter = self._waiters.get(request)
         if waiter is not None:
             self._append_contexts[request] = waiter.context
 
-    def _appended(self, names: t.Sequence[str], started_ns: int) -> None:
+    def _record_append_spans(self, names: t.Sequence[str], started_ns: int) -> None:
         for name in names:
             context = self._append_contexts.pop(name, None)
             if context is None:
@@ -425,25 +435,27 @@
         while True:
             self._tick()
             due = self._reducer.requests.next_deadline - time.monotonic()
-            await anyio.sleep(min(TICK_S, max(MIN_TICK_S, due)))
+            await anyio.sleep(min(MAX_TICK_INTERVAL_S, max(MIN_TICK_INTERVAL_S, due)))
 
     def _tick(self) -> None:
         self.dispatch(Tick(time.monotonic(), time.time()))
 
     async def _peer_loop(self) -> None:
         async for envelope in self._peers.receive():
-            self._peer_event(envelope.sender, envelope.incarnation, envelope.message)
+            self._dispatch_peer_message(
+                envelope.sender, envelope.incarnation, envelope.message
+            )
 
-    async def _list_loop(self) -> None:
+    async def _box_list_loop(self) -> None:
         while True:
-            boxes = await self._boxes.listed(self._settings.hall)
+            boxes = await self._boxes.list_boxes(self._settings.hall)
             if boxes is not None:
                 self.dispatch(BoxListRead(time.monotonic(), boxes))
-            await anyio.sleep(LIST_EVERY_S)
+            await anyio.sleep(BOX_LIST_INTERVAL_S)
 
     async def _prune_loop(self) -> None:
         while True:
-            await anyio.sleep(PRUNE_EVERY_S)
+            await anyio.sleep(CONNECTION_PRUNE_INTERVAL_S)
             await self._caller.prune()
 
     async def stop(self) -> None:
@@ -451,31 +463,31 @@
         self.dispatch(StopRequested(time.monotonic()))
         with anyio.move_on_after(self._settings.stop_grace_s):
             while not self._reducer.stopped:
-                await anyio.sleep(TICK_S)
+                await anyio.sleep(MAX_TICK_INTERVAL_S)
         self._telemetry.log.info("stopped", clean=self._reducer.stopped)
 
 
-async def _news_or_hang_up(
-    waiter: _Waiter, hung_up: t.Callable[[], t.Awaitable[None]] | None
+async def _wait_for_wakeup(
+    waiter: _Waiter, wait_for_disconnect: t.Callable[[], t.Awaitable[None]] | None
 ) -> None:
-    if hung_up is None:
-        await waiter.news.wait()
+    if wait_for_disconnect is None:
+        await waiter.wakeup.wait()
         return
-    gone = False
+    disconnected = False
     async with anyio.create_task_group() as tasks:
 
         async def watch() -> None:
-            nonlocal gone
-            await hung_up()
-            gone = True
+            nonlocal disconnected
+            await wait_for_disconnect()
+            disconnected = True
             tasks.cancel_scope.cancel()
 
         tasks.start_soon(watch)
-        await waiter.news.wait()
+        await waiter.wakeup.wait()
         tasks.cancel_scope.cancel()
-    if gone and not waiter.news.is_set():
+    if disconnected and not waiter.wakeup.is_set():
         raise CallerGone("the caller hung up")
 
 
-def _try_id(request: str, serial: int) -> bytes:
+def _attempt_id(request: str, serial: int) -> bytes:
     return f"{request}:{serial}".encode()
--- a/src/granitetrestle/intake.py
+++ b/src/granitetrestle/intake.py
@@ -56,7 +56,7 @@
     def job_submit(self, event: JobSubmitRequested) -> list[Effect]:
         """Submit a job to the shard that its name draws."""
         need = Vector.of(event.spec)
-        totals = self._totals()
+        totals = self._box_totals()
         if never_fits(need, totals.values()):
             text = "no box of this hall is large enough for one task"
             return _reject(event.request, Reason.CAN_NEVER_RUN, text)
@@ -64,30 +64,32 @@
         if need.cores > limit:
             text = f"one task takes {need.cores:g} cores, the limit is {limit:g}"
             return _reject(event.request, Reason.CAN_NEVER_RUN, text)
-        shard = self._shard_for(event.job, need, totals)
+        shard = self._choose_shard(event.job, need, totals)
         fact = JobSubmitted(event.request, event.job, event.account, event.spec, shard)
         return self._submissions.submit(event.request, self._stream, fact, event.now)
 
-    def _totals(self) -> dict[str, Vector]:
+    def _box_totals(self) -> dict[str, Vector]:
         listed = self._placement.listed or {}
         return {
             name: Vector(info.cores, info.memory_gb, info.accelerators)
             for name, info in listed.items()
         }
 
-    def _shard_for(self, job: str, need: Vector, totals: t.Mapping[str, Vector]) -> int:
+    def _choose_shard(
+        self, job: str, need: Vector, totals: t.Mapping[str, Vector]
+    ) -> int:
         """Pick a shard by the job's name, in proportion to fitting cores."""
-        sizes = [0.0] * self._shards
+        cores_by_shard = [0.0] * self._shards
         for box, total in totals.items():
             if need.fits(total):
-                sizes[shard_of(box, self._shards)] += total.cores
-        draw = zlib.crc32(job.encode()) / 2**32
-        whole = sum(sizes)
-        if not whole:
-            return int(draw * self._shards)
-        point = draw * whole
-        for shard, size in enumerate(sizes):
-            point -= size
+                cores_by_shard[shard_of(box, self._shards)] += total.cores
+        hash_fraction = zlib.crc32(job.encode()) / 2**32
+        total_cores = sum(cores_by_shard)
+        if not total_cores:
+            return int(hash_fraction * self._shards)
+        point = hash_fraction * total_cores
+        for shard, shard_cores in enumerate(cores_by_shard):
+            point -= shard_cores
             if point < 0:
                 return shard
         return self._shards - 1
--- a/src/granitetrestle/jobs.py
+++ b/src/granitetrestle/jobs.py
@@ -16,10 +16,10 @@
 __all__ = ["Job", "Jobs", "Task", "check_spec", "task_id"]
 
 MAX_TASKS = 1000
-MAX_FAILURES = 5
-KEEP_ENDED = 1000
+MAX_TASK_FAILURES = 5
+MAX_ENDED_JOBS = 1000
 SERVICE_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
-RETRIED: t.Final = frozenset({"evicted", "lost", "failed"})
+RETRIED_ENDINGS: t.Final = frozenset({"evicted", "lost", "failed"})
 
 
 @dataclasses.dataclass(slots=True)
@@ -85,14 +85,14 @@
         raise InvalidInput("a batch job has no service name")
     if not 1 <= spec.tasks <= MAX_TASKS:
         raise InvalidInput(f"a job has 1 to {MAX_TASKS} tasks")
-    for name, value, high in (
+    for name, value, maximum in (
         ("cores", spec.cores, 1024.0),
         ("memory_gb", spec.memory_gb, 65536.0),
         ("run_s", spec.run_s, 1e7),
         ("accelerators", float(spec.accelerators), 64.0),
     ):
-        if not 0 <= value <= high:
-            raise InvalidInput(f"{name} lies in 0..{high:g}")
+        if not 0 <= value <= maximum:
+            raise InvalidInput(f"{name} lies in 0..{maximum:g}")
     if spec.cores <= 0 or spec.memory_gb <= 0:
         raise InvalidInput("cores and memory_gb are above 0")
 
@@ -110,7 +110,7 @@
         """Job id -> job."""
         return self._jobs
 
-    def open_in(self, shard: int) -> t.Mapping[str, Job]:
+    def open_jobs(self, shard: int) -> t.Mapping[str, Job]:
         """Return the jobs of ``shard`` that have a task still to end."""
         return self._open.get(shard, {})
 
@@ -155,7 +155,7 @@
             return None
         self._end_attempt(offset, job, task, fact)
         if job.ended:
-            self._close(job)
+            self._close_job(job)
         return task
 
     def _end_attempt(
@@ -165,22 +165,22 @@
         task.checkpoint = fact.checkpoint or task.checkpoint
         task.failures += fact.ending == "failed"
         task.evictions += fact.ending == "evicted"
-        if self._runs_again(job, task, fact.ending):
+        if self._may_retry(job, task, fact.ending):
             task.attempt += 1
             task.opened = offset
             return
         task.ended = True
 
     @staticmethod
-    def _runs_again(job: Job, task: Task, ending: Ending) -> bool:
-        if job.cancelled or ending not in RETRIED:
+    def _may_retry(job: Job, task: Task, ending: Ending) -> bool:
+        if job.cancelled or ending not in RETRIED_ENDINGS:
             return False
-        return task.failures < MAX_FAILURES
+        return task.failures < MAX_TASK_FAILURES
 
-    def _close(self, job: Job) -> None:
+    def _close_job(self, job: Job) -> None:
         self._open.get(job.shard, {}).pop(job.job, None)
         self._ended_order[job.job] = None
-        while len(self._ended_order) > KEEP_ENDED:
+        while len(self._ended_order) > MAX_ENDED_JOBS:
             oldest = next(iter(self._ended_order))
             del self._ended_order[oldest]
             del self._jobs[oldest]
--- a/src/granitetrestle/logfeed.py
+++ b/src/granitetrestle/logfeed.py
@@ -14,20 +14,20 @@
 from .events import LogRead
 from .events import SnapshotRead
 from .loglink import LogClient
-from .loglink import backoffs
+from .loglink import backoff_delays
 from .loglink import newest_snapshot
 from .reducer import Reducer
 
-__all__ = ["LogFeed", "Sink"]
+__all__ = ["LogFeed", "EventSink"]
 
 
-class Sink(t.Protocol):
+class EventSink(t.Protocol):
     """Where events go."""
 
     def dispatch(self, event: Event) -> None:
         """Apply an event."""
 
-    def log_read(self, event: LogRead) -> None:
+    def handle_log_read(self, event: LogRead) -> None:
         """Apply a read of the log."""
 
 
@@ -43,7 +43,7 @@
         stream: str,
         wait_s: float,
         reducer: Reducer,
-        sink: Sink,
+        sink: EventSink,
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
         self._client = client
@@ -55,31 +55,31 @@
 
     async def run(self) -> None:
         """Read on for ever."""
-        waits = backoffs()
+        delays = backoff_delays()
         await self._restore()
         while True:
             try:
-                await self._read()
-                waits = backoffs()
+                await self._read_page()
+                delays = backoff_delays()
             except LogUnavailable as error:
                 self._log.warning("log_unavailable", detail=error.message)
-                await anyio.sleep(next(waits))
+                await anyio.sleep(next(delays))
             except LogGapError as error:
                 self._log.error("log_gap", detail=error.message)
                 await self._restore()
-                await anyio.sleep(next(waits))
+                await anyio.sleep(next(delays))
 
-    async def _read(self) -> None:
+    async def _read_page(self) -> None:
         offset = self._reducer.offsets.get(self._stream, 1)
         page = await self._client.read(self._stream, offset, self._wait_s)
         now = time.monotonic()
-        self._sink.log_read(
+        self._sink.handle_log_read(
             LogRead(now, self._stream, page.records, page.next_offset, page.tail)
         )
 
     async def _restore(self) -> None:
         """Take up the newest snapshot, if it is newer than what is known."""
-        newest = await self._newest()
+        newest = await self._newest_snapshot()
         if newest is None:
             return
         upto, payload = newest
@@ -87,10 +87,10 @@
         event = SnapshotRead(time.monotonic(), self._stream, upto, payload)
         self._sink.dispatch(event)
 
-    async def _newest(self) -> tuple[int, bytes] | None:
-        waits = backoffs()
+    async def _newest_snapshot(self) -> tuple[int, bytes] | None:
+        delays = backoff_delays()
         while True:
             try:
                 return await newest_snapshot(self._client, self._stream)
             except LogUnavailable:
-                await anyio.sleep(next(waits))
+                await anyio.sleep(next(delays))
--- a/src/granitetrestle/loglink.py
+++ b/src/granitetrestle/loglink.py
@@ -22,20 +22,20 @@
 from .records import SnapshotChunk
 from .records import decode_batch
 from .records import encode_batch
-from .snapshot import SnapshotAssembly
+from .snapshot import SnapshotAssembler
 from .snapshot import snapshot_stream
 
 __all__ = ["LogClient", "LogPage", "LogWriter"]
 
-READ_LIMIT = 500
-READ_WAIT_S = 1.0
-READ_TIMEOUT_S = 2.0
+MAX_READ_RECORDS = 500
+DEFAULT_READ_WAIT_S = 1.0
+READ_TRANSFER_TIMEOUT_S = 2.0
 APPEND_TIMEOUT_S = 2.0
-BATCH_FACTS = 256
-BACKOFF_S = 0.1
+BATCH_FACTS_THRESHOLD = 256
+INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-SETTLE_S = 1.5
-MAX_PAGE = 64 * 1024 * 1024
+READ_BACK_TIMEOUT_S = 1.5
+MAX_PAGE_BYTES = 64 * 1024 * 1024
 STATUS_OK = 200
 STATUS_GONE = 410
 T = t.TypeVar("T")
@@ -85,7 +85,7 @@
             body=body,
             timeout_s=timeout_s,
             method=method,
-            limit=MAX_PAGE,
+            limit=MAX_PAGE_BYTES,
         )
         if isinstance(reply, CallFailure):
             raise LogUnavailable(f"the log did not answer: {reply.proof.detail}")
@@ -94,7 +94,7 @@
         return reply
 
     async def read(
-        self, stream: str, offset: int, wait_s: float = READ_WAIT_S
+        self, stream: str, offset: int, wait_s: float = DEFAULT_READ_WAIT_S
     ) -> LogPage:
         """Read on from ``offset``, waiting up to ``wait_s`` seconds for news.
 
@@ -103,13 +103,13 @@
         """
         path = (
             f"{stream}/records?from={offset}"
-            f"&limit={READ_LIMIT}&wait_ms={wait_s * 1000:.0f}"
+            f"&limit={MAX_READ_RECORDS}&wait_ms={wait_s * 1000:.0f}"
         )
-        reply = await self._call("GET", path, wait_s + READ_TIMEOUT_S)
+        reply = await self._call("GET", path, wait_s + READ_TRANSFER_TIMEOUT_S)
         page = _decode(reply.body, _WirePage)
         if reply.status == STATUS_GONE:
             raise LogGapError(stream, page.first)
-        return _page(page, offset)
+        return _to_log_page(page, offset)
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append a record; returns its offset.
@@ -121,14 +121,14 @@
         return _decode(reply.body, _WireAppended).offset
 
 
-def _decode(body: bytes, kind: type[T]) -> T:
+def _decode(body: bytes, body_type: type[T]) -> T:
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=body_type)
     except msgspec.DecodeError as error:
         raise LogUnavailable(f"the log's answer is malformed: {error}") from error
 
 
-def _page(page: _WirePage, offset: int) -> LogPage:
+def _to_log_page(page: _WirePage, offset: int) -> LogPage:
     records: list[LogRecord] = []
     next_offset = offset
     for wire in page.records:
@@ -148,7 +148,7 @@
     :returns: the offset that it covers, and its bytes.
     :raises LogUnavailable: if the log can't be read.
     """
-    assembly = SnapshotAssembly()
+    assembly = SnapshotAssembler()
     source = snapshot_stream(stream)
     offset = 1
     while True:
@@ -187,12 +187,12 @@
         self._waiting: collections.OrderedDict[str, tuple[Fact, ...]] = (
             collections.OrderedDict()
         )
-        self._unnamed = 0
+        self._generated_names = 0
         self._seq = 0
-        self._seen = 0
+        self._last_seen_seq = 0
         self._tail_reads = 0
-        self._news = anyio.Event()
-        self._read = anyio.Event()
+        self._facts_queued = anyio.Event()
+        self._read_seen = anyio.Event()
 
     @property
     def waiting(self) -> int:
@@ -203,33 +203,33 @@
         """Queue facts for the next append."""
         name = effect.request
         if not name:
-            self._unnamed += 1
-            name = f"#{self._unnamed}"
+            self._generated_names += 1
+            name = f"#{self._generated_names}"
         if name in self._waiting and not effect.latest_only:
-            self._unnamed += 1
-            name = f"{name}#{self._unnamed}"
+            self._generated_names += 1
+            name = f"{name}#{self._generated_names}"
         self._waiting[name] = effect.facts
-        self._news.set()
+        self._facts_queued.set()
 
     def withdraw(self, request: str) -> bool:
         """Take facts back; ``True`` proves that they were not sent."""
         return self._waiting.pop(request, None) is not None
 
-    def noticed(self, records: t.Sequence[LogRecord], tail: bool) -> None:
+    def observe(self, records: t.Sequence[LogRecord], tail: bool) -> None:
         """Learn from the reader which of our own batches stand on the log."""
         for record in records:
             if record.batch.writer == self._writer:
-                self._seen = max(self._seen, record.batch.seq)
+                self._last_seen_seq = max(self._last_seen_seq, record.batch.seq)
         if records or tail:
             self._tail_reads += tail
-            self._read.set()
-            self._read = anyio.Event()
+            self._read_seen.set()
+            self._read_seen = anyio.Event()
 
     async def run(self) -> t.NoReturn:
         """Send what is queued, forever."""
         while True:
-            await self._news.wait()
-            self._news = anyio.Event()
+            await self._facts_queued.wait()
+            self._facts_queued = anyio.Event()
             while self._waiting:
                 names, facts = self._next_batch()
                 self._seq += 1
@@ -241,36 +241,36 @@
     def _next_batch(self) -> tuple[list[str], list[Fact]]:
         names: list[str] = []
         facts: list[Fact] = []
-        while self._waiting and len(facts) < BATCH_FACTS:
-            name, some = self._waiting.popitem(last=False)
+        while self._waiting and len(facts) < BATCH_FACTS_THRESHOLD:
+            name, queued_facts = self._waiting.popitem(last=False)
             names.append(name)
-            facts += some
-            if any(isinstance(fact, SnapshotChunk) for fact in some):
+            facts += queued_facts
+            if any(isinstance(fact, SnapshotChunk) for fact in queued_facts):
                 # A chunk fills an append by itself.
                 break
         return names, facts
 
     async def _send(self, batch: Batch) -> None:
         data = encode_batch(batch)
-        backoff = BACKOFF_S
-        while self._seen < batch.seq:
+        backoff = INITIAL_BACKOFF_S
+        while self._last_seen_seq < batch.seq:
             try:
                 await self._client.append(self._stream, data)
                 return
             except LogUnavailable:
-                await self._settle(batch.seq)
+                await self._wait_for_read_back(batch.seq)
             await anyio.sleep(backoff)
             backoff = min(MAX_BACKOFF_S, backoff * 2)
 
-    async def _settle(self, seq: int) -> None:
+    async def _wait_for_read_back(self, seq: int) -> None:
         """Read on to the tail, to see whether the batch took effect."""
         reads = self._tail_reads
-        with anyio.move_on_after(SETTLE_S):
-            while self._seen < seq and self._tail_reads < reads + 2:
-                await self._read.wait()
+        with anyio.move_on_after(READ_BACK_TIMEOUT_S):
+            while self._last_seen_seq < seq and self._tail_reads < reads + 2:
+                await self._read_seen.wait()
 
 
-def backoffs() -> t.Iterator[float]:
+def backoff_delays() -> t.Iterator[float]:
     """Yield the waits (s) between failed reads."""
     for power in range(1000):
-        yield min(MAX_BACKOFF_S, BACKOFF_S * math.pow(2.0, min(power, 10)))
+        yield min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * math.pow(2.0, min(power, 10)))
--- a/src/granitetrestle/records.py
+++ b/src/granitetrestle/records.py
@@ -30,11 +30,11 @@
     "TableEdited",
     "decode_batch",
     "encode_batch",
-    "note_batch",
+    "record_batch",
 ]
 
 # Writers of a stream that are remembered, to recognise batches that stand twice.
-WRITERS_KEPT: t.Final = 512
+MAX_WRITERS: t.Final = 512
 
 CellValue: t.TypeAlias = float | str
 Ending: t.TypeAlias = t.Literal["finished", "failed", "evicted", "lost", "cancelled"]
@@ -210,7 +210,7 @@
     batch: Batch
 
 
-def note_batch(writers: dict[str, int], batch: Batch) -> bool:
+def record_batch(writers: dict[str, int], batch: Batch) -> bool:
     """Say whether a batch is seen for the first time, and note that it was.
 
     :param writers: the last sequence number of each writer, the newest writer last.
@@ -219,7 +219,7 @@
         return False
     writers.pop(batch.writer, None)
     writers[batch.writer] = batch.seq
-    while len(writers) > WRITERS_KEPT:
+    while len(writers) > MAX_WRITERS:
         del writers[next(iter(writers))]
     return True
 
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -48,18 +48,18 @@
 from .records import ShardClaimed
 from .records import ShardReleased
 from .records import TableEdited
-from .records import note_batch
+from .records import record_batch
 from .requests import Requests
 from .setup import Setup
 from .setup import hall_stream
 from .shards import ShardOwner
 from .snapshot import ConfigState
 from .snapshot import HallState
-from .snapshot import chunks
 from .snapshot import decode_config
 from .snapshot import decode_hall
 from .snapshot import encode_state
 from .snapshot import snapshot_stream
+from .snapshot import split_snapshot
 from .submissions import Submissions
 from .table import Table
 
@@ -340,7 +340,9 @@
         self._snapshot_at[stream] = (upto, now)
         payload = encode_state(self.state_of(stream))
         target = snapshot_stream(stream)
-        return [AppendFacts(target, (chunk,)) for chunk in chunks(upto, payload)]
+        return [
+            AppendFacts(target, (chunk,)) for chunk in split_snapshot(upto, payload)
+        ]
 
     def state_of(self, stream: str) -> ConfigState | HallState:
         """Return the state after the records of a stream, for a snapshot."""
@@ -356,7 +358,7 @@
         )
 
     def _apply_record(self, stream: str, record: LogRecord, now: float) -> list[Effect]:
-        if not note_batch(self._writers.setdefault(stream, {}), record.batch):
+        if not record_batch(self._writers.setdefault(stream, {}), record.batch):
             return []
         effects: list[Effect] = []
         for fact in record.batch.facts:
--- a/src/granitetrestle/snapshot.py
+++ b/src/granitetrestle/snapshot.py
@@ -17,15 +17,15 @@
 __all__ = [
     "ConfigState",
     "HallState",
-    "SnapshotAssembly",
-    "chunks",
+    "SnapshotAssembler",
+    "split_snapshot",
     "decode_config",
     "decode_hall",
     "encode_state",
     "snapshot_stream",
 ]
 
-CHUNK_BYTES = 48 * 1024
+MAX_CHUNK_BYTES = 48 * 1024
 
 
 class ConfigState(msgspec.Struct):
@@ -55,9 +55,9 @@
     return zlib.compress(msgspec.msgpack.encode(state), 1)
 
 
-def _decode(payload: bytes, kind: type[t.Any]) -> t.Any:
+def _decode(payload: bytes, state_type: type[t.Any]) -> t.Any:
     try:
-        return msgspec.msgpack.decode(zlib.decompress(payload), type=kind)
+        return msgspec.msgpack.decode(zlib.decompress(payload), type=state_type)
     except (zlib.error, msgspec.DecodeError) as error:
         raise FrameError(f"not a snapshot: {error}") from error
 
@@ -80,18 +80,18 @@
     return state
 
 
-def chunks(upto: int, payload: bytes) -> tuple[SnapshotChunk, ...]:
+def split_snapshot(upto: int, payload: bytes) -> tuple[SnapshotChunk, ...]:
     """Cut a snapshot into records of bounded size."""
     parts = [
-        payload[start : start + CHUNK_BYTES]
-        for start in range(0, len(payload), CHUNK_BYTES)
+        payload[start : start + MAX_CHUNK_BYTES]
+        for start in range(0, len(payload), MAX_CHUNK_BYTES)
     ]
     return tuple(
         SnapshotChunk(upto, index, len(parts), part) for index, part in enumerate(parts)
     )
 
 
-class SnapshotAssembly:
+class SnapshotAssembler:
     """Finds the newest whole snapshot among the records of its stream."""
 
     def __init__(self) -> None:
@@ -117,6 +117,6 @@
         parts = self._parts.setdefault(key, {})
         parts[chunk.index] = chunk.payload
         if len(parts) == chunk.count:
-            whole = b"".join(parts[index] for index in range(chunk.count))
-            self._newest = (chunk.upto, whole)
+            payload = b"".join(parts[index] for index in range(chunk.count))
+            self._newest = (chunk.upto, payload)
             self._parts = {k: v for k, v in self._parts.items() if k[1] > chunk.upto}
--- a/src/granitetrestle_standins/fakenode.py
+++ b/src/granitetrestle_standins/fakenode.py
@@ -14,7 +14,7 @@
 from granitetrestle.reducer import Reducer
 from granitetrestle.reducer import Setup
 from granitetrestle.reducer import hall_stream
-from granitetrestle.snapshot import SnapshotAssembly
+from granitetrestle.snapshot import SnapshotAssembler
 from granitetrestle.snapshot import snapshot_stream
 
 from .fakelog import Writer
@@ -123,7 +123,7 @@
                 self.world.later(READ_S, lambda: self._restore(stream))
                 return
             self.world.later(READ_S, lambda: self._read(stream))
-            assembly = SnapshotAssembly()
+            assembly = SnapshotAssembler()
             source = snapshot_stream(stream)
             offset = self.world.log.first(source)
             while records := self.world.log.read(source, offset):
