--- a/src/granitetrestle/boxlink.py
+++ b/src/granitetrestle/boxlink.py
@@ -1,5 +1,6 @@
-"""Adapter to the platform's boxes: the lagging list of them, and the exchange of
-commands for a report. The formats of both live in this file alone."""
+"""Adapter to the platform's boxes: the platform's list of them, which lags behind, and
+the exchange that sends commands to a box and returns its report. No other module knows
+the wire formats of the two."""
 
 import time
 import typing as t
@@ -27,7 +28,7 @@
 
 
 class WireBox(msgspec.Struct):
-    """A line of the platform's list."""
+    """An entry of the platform's list of boxes."""
 
     box: str
     hall: str
@@ -42,7 +43,7 @@
 
 
 class WireCommand(msgspec.Struct, omit_defaults=True):
-    """A command as a box reads it."""
+    """A command to a box."""
 
     op: str
     task: str
@@ -56,13 +57,13 @@
 
 
 class WireExchange(msgspec.Struct):
-    """Body of an exchange."""
+    """Request body of an exchange."""
 
     commands: list[WireCommand]
 
 
 class WireResult(msgspec.Struct):
-    """A box's answer to one command."""
+    """A box's result of one command."""
 
     task: str
     attempt: int
@@ -71,7 +72,7 @@
 
 
 class WireTask(msgspec.Struct):
-    """A task as a box reports it."""
+    """A task in a box's report."""
 
     task: str
     attempt: int
@@ -82,21 +83,21 @@
 
 
 class WireReport(msgspec.Struct):
-    """Answer to an exchange."""
+    """Response body of an exchange."""
 
     results: list[WireResult]
     tasks: list[WireTask]
 
 
 class BoxLink:
-    """HTTP client of boxes and of the platform's list."""
+    """HTTP client of the boxes and of the platform's list of them."""
 
     def __init__(self, platform: str, caller: Caller) -> None:
         self._platform = platform
         self._caller = caller
 
     async def list_boxes(self, hall: str) -> tuple[BoxInfo, ...] | None:
-        """Return the hall's boxes, or ``None`` if the platform gives no answer."""
+        """Return the data hall's boxes, or ``None`` without a valid answer."""
         reply = await self._caller.call(
             self._platform,
             f"/v1/boxes?hall={hall}",
@@ -109,9 +110,10 @@
         return tuple(_box_info(box) for box in boxes if box.hall == hall)
 
     async def exchange(self, effect: CommandBox) -> BoxAnswered | BoxFailed:
-        """Carry out one exchange.
+        """Send commands to a box.
 
-        :returns: the report, or a failure that says whether anything left.
+        :returns: the box's report, or a failure that says whether the commands provably
+            did not run.
         """
         body = WireExchange([_to_wire(command) for command in effect.commands])
         sent_wall = time.time()
--- a/src/granitetrestle/jobs.py
+++ b/src/granitetrestle/jobs.py
@@ -1,6 +1,6 @@
-"""Jobs and the attempts of their tasks, as the hall's stream tells them. All
-state here is a pure function of a prefix of the stream, so that snapshots can
-carry it and every process of the hall agrees on which attempt is current."""
+"""Jobs and the attempts of their tasks, as recorded on the data hall's stream. The
+state is a pure function of a prefix of the stream, so that snapshots can hold it and
+all processes of the data hall agree on which attempt is current."""
 
 import dataclasses
 import re
@@ -28,6 +28,8 @@
 
     :param attempt: number of the current attempt, from 1.
     :param opened: offset of the fact that made this attempt current.
+    :param checkpoint: the last checkpoint that an attempt reported.
+    :param last_ending: ending of the last attempt that ended.
     """
 
     task: str
@@ -42,7 +44,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """A submitted job and its tasks."""
+    """A submitted job and its tasks.
+
+    :param offset: offset of its submission.
+    """
 
     job: str
     account: str
@@ -60,7 +65,7 @@
 
     @property
     def state(self) -> str:
-        """``cancelled``, ``finished``, ``failed`` or ``open``."""
+        """``open``, ``cancelling``, ``cancelled``, ``finished`` or ``failed``."""
         if not self.ended:
             return "cancelling" if self.cancelled else "open"
         if self.cancelled:
@@ -75,16 +80,18 @@
 
 
 def check_spec(spec: JobSpec) -> None:
-    """Check what an account asks for, before it goes onto the log.
+    """Validate a job specification before it is appended to the log.
 
-    :raises InvalidInput: naming the first thing that is not allowed.
+    :raises InvalidInput: for the first value that is not allowed.
     """
     if spec.kind == "service" and not SERVICE_PATTERN.fullmatch(spec.service):
-        raise InvalidInput("a service job names its service (a-z, 0-9, -)")
+        raise InvalidInput(
+            f"service {spec.service!r} of a service job must be a name of a-z, 0-9 and -"
+        )
     if spec.kind == "batch" and spec.service:
-        raise InvalidInput("a batch job has no service name")
+        raise InvalidInput(f"a batch job must have no service, not {spec.service!r}")
     if not 1 <= spec.tasks <= MAX_TASKS:
-        raise InvalidInput(f"a job has 1 to {MAX_TASKS} tasks")
+        raise InvalidInput(f"tasks must be from 1 to {MAX_TASKS}, not {spec.tasks}")
     for name, value, maximum in (
         ("cores", spec.cores, 1024.0),
         ("memory_gb", spec.memory_gb, 65536.0),
@@ -92,13 +99,13 @@
         ("accelerators", float(spec.accelerators), 64.0),
     ):
         if not 0 <= value <= maximum:
-            raise InvalidInput(f"{name} lies in 0..{maximum:g}")
+            raise InvalidInput(f"{name} must be from 0 to {maximum:g}, not {value:g}")
     if spec.cores <= 0 or spec.memory_gb <= 0:
-        raise InvalidInput("cores and memory_gb are above 0")
+        raise InvalidInput("cores and memory_gb must be greater than 0")
 
 
 class Jobs:
-    """All jobs of one hall that are open or ended lately."""
+    """The open jobs of a data hall, and the ``MAX_ENDED_JOBS`` that ended last."""
 
     def __init__(self) -> None:
         self._jobs: dict[str, Job] = {}
@@ -111,17 +118,17 @@
         return self._jobs
 
     def open_jobs(self, shard: int) -> t.Mapping[str, Job]:
-        """Return the jobs of ``shard`` that have a task still to end."""
+        """Return the jobs of ``shard`` with a task that has not ended."""
         return self._open.get(shard, {})
 
     def find_task(self, task: str) -> tuple[Job, Task] | None:
-        """Return the job and task with this name, if known."""
+        """Return the task with this name and its job, if known."""
         job = self._jobs.get(task.rpartition("/")[0])
         found = job.tasks.get(task) if job is not None else None
         return (job, found) if job is not None and found is not None else None
 
     def apply_submitted(self, offset: int, fact: JobSubmitted) -> Job | None:
-        """Apply a submission; returns the job, or ``None`` if it was known."""
+        """Apply a submission; returns the job, or ``None`` if it exists already."""
         if fact.job in self._jobs:
             return None
         job = Job(fact.job, fact.account, fact.spec, fact.shard, offset, fact.request)
@@ -144,7 +151,7 @@
         """Apply the end of an attempt.
 
         :param epoch: the epoch of the fact's shard at this point of the log.
-        :returns: the task, or ``None`` if the fact does not count.
+        :returns: the task, or ``None`` if the fact is ignored as outdated.
         """
         found = self.find_task(fact.task)
         if found is None:
@@ -186,12 +193,13 @@
             del self._jobs[oldest]
 
     def snapshot(self) -> list[Job]:
-        """Return the jobs in an order from which :meth:`restore` rebuilds all."""
+        """Return the jobs for :meth:`restore`: first those that have ended, in the order
+        of their ends, then the open ones."""
         ended = [self._jobs[name] for name in self._ended_order]
         return ended + [job for job in self._jobs.values() if not job.ended]
 
     def restore(self, jobs: t.Iterable[Job]) -> None:
-        """Take up a snapshot, replacing what stood here."""
+        """Replace the state by the jobs of a snapshot."""
         self.__init__()  # type: ignore[misc]
         for job in jobs:
             self._jobs[job.job] = job
--- a/src/granitetrestle/logfeed.py
+++ b/src/granitetrestle/logfeed.py
@@ -1,6 +1,6 @@
-"""Feeds one stream of the log to the reducer: from the newest snapshot on, then
-record by record, and anew from a snapshot when the log has dropped records that
-were not read yet."""
+"""Feeds one stream of the log to the reducer: first the newest snapshot, then the
+records after it. If the log has dropped records that were not read yet, it starts again
+from the newest snapshot."""
 
 import time
 import typing as t
@@ -22,7 +22,7 @@
 
 
 class EventSink(t.Protocol):
-    """Where events go."""
+    """Receiver of events."""
 
     def dispatch(self, event: Event) -> None:
         """Apply an event."""
@@ -34,7 +34,7 @@
 class LogFeed:
     """The reader of one stream.
 
-    :param wait_s: how long a read waits for news, in seconds.
+    :param wait_s: time that a read waits for new records, in seconds.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self._log = log
 
     async def run(self) -> None:
-        """Read on for ever."""
+        """Read the stream until cancelled."""
         delays = backoff_delays()
         await self._restore()
         while True:
@@ -78,7 +78,8 @@
         )
 
     async def _restore(self) -> None:
-        """Take up the newest snapshot, if it is newer than what is known."""
+        """Dispatch the newest snapshot, if there is one; the reducer ignores one that is
+        older than its state."""
         newest = await self._newest_snapshot()
         if newest is None:
             return
--- a/src/granitetrestle/loglink.py
+++ b/src/granitetrestle/loglink.py
@@ -1,6 +1,6 @@
-"""Adapter to the platform's append-only log: one reader for each stream, and one
-writer that puts many facts into an append. After a lost answer the writer first
-reads on for its own record id, and only then sends the same batch again."""
+"""Adapter to the platform's append-only log: an HTTP client, and a writer for each
+stream that appends many facts at once. If the answer to an append is lost, the writer
+first looks for its record id in what is read, and only then repeats the batch."""
 
 import collections
 import math
@@ -58,9 +58,9 @@
 
 
 class LogPage(t.NamedTuple):
-    """A read of a stream.
+    """Records of a stream, as one read returned them.
 
-    :param next_offset: where to read on.
+    :param next_offset: offset from which the next read continues.
     :param tail: whether the read reached the stream's end.
     """
 
@@ -96,10 +96,10 @@
     async def read(
         self, stream: str, offset: int, wait_s: float = DEFAULT_READ_WAIT_S
     ) -> LogPage:
-        """Read on from ``offset``, waiting up to ``wait_s`` seconds for news.
+        """Read from ``offset`` on, waiting up to ``wait_s`` seconds for new records.
 
-        :raises LogUnavailable: if there is no good answer.
-        :raises LogGapError: if ``offset`` has expired.
+        :raises LogUnavailable: if there is no valid answer.
+        :raises LogGapError: if the log has dropped the record at ``offset``.
         """
         path = (
             f"{stream}/records?from={offset}"
@@ -114,8 +114,8 @@
     async def append(self, stream: str, data: bytes) -> int:
         """Append a record; returns its offset.
 
-        :raises LogUnavailable: if there is no good answer; the record may or
-            may not stand on the log.
+        :raises LogUnavailable: if there is no valid answer; the record may or may not
+            be on the log.
         """
         reply = await self._call("POST", f"{stream}/records", APPEND_TIMEOUT_S, data)
         return _decode(reply.body, _WireAppended).offset
@@ -136,16 +136,16 @@
         try:
             batch = decode_batch(wire.data)
         except FrameError:
-            # Somebody else's record; every reader skips it alike.
+            # Written by another program; all readers skip it, so their states agree.
             continue
         records.append(LogRecord(wire.offset, wire.at, batch))
     return LogPage(tuple(records), next_offset, next_offset >= page.next)
 
 
 async def newest_snapshot(client: LogClient, stream: str) -> tuple[int, bytes] | None:
-    """Return the newest whole snapshot of a stream, if there is one.
+    """Return the newest complete snapshot of a stream, if there is one.
 
-    :returns: the offset that it covers, and its bytes.
+    :returns: the offset up to which it covers the stream, and its bytes.
     :raises LogUnavailable: if the log can't be read.
     """
     assembly = SnapshotAssembler()
@@ -166,9 +166,10 @@
 class LogWriter:
     """Writes one stream, one append at a time.
 
-    :param writer: this process's incarnation, the first half of a record id.
-    :param appended: called with the requests of a batch and its start time
-        (wall ns) when the batch is known to stand on the log.
+    :param writer: this process's incarnation, the first part of a record id.
+    :param appended: called with the requests of a batch and the wall time (ns) at
+        which it was first sent, once the batch is known to be on the log.
+    :param clock_ns: returns the wall time in ns.
     """
 
     def __init__(
@@ -196,11 +197,12 @@
 
     @property
     def waiting(self) -> int:
-        """Appends that were not sent yet."""
+        """Number of queued entries that were not sent yet."""
         return len(self._waiting)
 
     def put(self, effect: AppendFacts) -> None:
-        """Queue facts for the next append."""
+        """Queue facts for the next append; with ``latest_only`` they replace queued
+        facts of the same request."""
         name = effect.request
         if not name:
             self._generated_names += 1
@@ -212,11 +214,15 @@
         self._facts_queued.set()
 
     def withdraw(self, request: str) -> bool:
-        """Take facts back; ``True`` proves that they were not sent."""
+        """Remove a request's facts from the queue; ``True`` proves that they were not
+        sent."""
         return self._waiting.pop(request, None) is not None
 
     def observe(self, records: t.Sequence[LogRecord], tail: bool) -> None:
-        """Learn from the reader which of our own batches stand on the log."""
+        """Record which of this writer's batches are on the log.
+
+        :param tail: whether the read reached the stream's end.
+        """
         for record in records:
             if record.batch.writer == self._writer:
                 self._last_seen_seq = max(self._last_seen_seq, record.batch.seq)
@@ -226,7 +232,7 @@
             self._read_seen = anyio.Event()
 
     async def run(self) -> t.NoReturn:
-        """Send what is queued, forever."""
+        """Append queued facts until cancelled."""
         while True:
             await self._facts_queued.wait()
             self._facts_queued = anyio.Event()
@@ -246,7 +252,7 @@
             names.append(name)
             facts += queued_facts
             if any(isinstance(fact, SnapshotChunk) for fact in queued_facts):
-                # A chunk fills an append by itself.
+                # A chunk is large enough to fill an append by itself.
                 break
         return names, facts
 
@@ -263,7 +269,8 @@
             backoff = min(MAX_BACKOFF_S, backoff * 2)
 
     async def _wait_for_read_back(self, seq: int) -> None:
-        """Read on to the tail, to see whether the batch took effect."""
+        """Wait until the batch was read back, or two reads reached the stream's end
+        without it; the first of them may have been under way before the append."""
         reads = self._tail_reads
         with anyio.move_on_after(READ_BACK_TIMEOUT_S):
             while self._last_seen_seq < seq and self._tail_reads < reads + 2:
@@ -271,6 +278,6 @@
 
 
 def backoff_delays() -> t.Iterator[float]:
-    """Yield the waits (s) between failed reads."""
+    """Yield the delays (s) after successive failed reads."""
     for power in range(1000):
         yield min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * math.pow(2.0, min(power, 10)))
--- a/src/granitetrestle/messages.py
+++ b/src/granitetrestle/messages.py
@@ -1,6 +1,6 @@
-"""Messages between the system's own processes. All may be lost, late, doubled
-or crossed: each is either repeated on a tick or answered with its own id, and
-none carries a right that outlives the term written in it."""
+"""Messages between the processes of the system. They may be lost, delayed, duplicated
+or reordered, so each is either repeated on a tick or answered with its id, and no
+permission that a message grants is valid beyond the period that it states."""
 
 import typing as t
 
@@ -33,13 +33,13 @@
 
 
 class BeatSent(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """A process's sign of life, for the hall's gatherer to put on the log."""
+    """A process's heartbeat, sent to the data hall's aggregator, which appends it."""
 
     beat: Beat
 
 
 class EndpointInfo(msgspec.Struct, frozen=True, array_like=True):
-    """Where a running task of a service answers."""
+    """Endpoint of a running task of a service, and its address (IP:PORT)."""
 
     endpoint: str
     service: str
@@ -56,13 +56,14 @@
 
 
 class LoansGranted(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """What a shard's owner lends the receiver.
-
-    :param complete: loans not listed end now; otherwise the owner does not know
-        all endpoints yet, and they run on until their term.
-    :param serial: number of this grant; the term runs from when the receiver
-        sent the :class:`LoansHeld` that ``answers`` names.
-    :param term_s: seconds.
+    """The loans of slots that a shard's owner grants to the receiver.
+
+    :param serial: number of this grant.
+    :param answers: number of the :class:`LoansHeld` that this grant answers.
+    :param term_s: validity of the loans in seconds, from when the receiver sent that
+        message.
+    :param complete: whether loans that are not listed end now; otherwise the owner
+        does not know all endpoints yet, and they stay valid until they expire.
     """
 
     shard: int
@@ -75,15 +76,17 @@
 
 
 class LoansHeld(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """What the sender may still use of a shard, and how much it would like.
+    """Report of the loans that the sender holds of a shard, and of its demand.
 
-    :param epoch: the shard's epoch as the sender knows it; the sender takes no
-        grant of an older one any more.
-    :param number: number of this message; an answer's term runs from its sending.
+    :param epoch: the newest epoch of the shard that the sender knows; it no longer
+        accepts grants of older ones.
+    :param number: number of this message; the loans of the answer are valid from when
+        this message was sent.
     :param applied: serial of the last grant of ``epoch`` that it applied, or 0.
+    :param supports: whether the sender supports the owner: it does not claim the shard
+        while its support is valid.
     :param loans: endpoint -> slots granted or in use, whichever is more.
-    :param demand: service -> slots in use and waiting.
-    :param supports: the sender will not claim the shard for a while.
+    :param demand: service -> slots that requests use or wait for.
     """
 
     shard: int
@@ -96,8 +99,9 @@
 
 
 class KeyAsked(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """May the sender run the request with this key? (non-repeatable work)
+    """Asks the shard's owner whether the sender may run a non-repeatable request.
 
+    :param key: idempotency key of the request.
     :param issued_at: wall time (seconds) at which the caller made the key.
     """
 
@@ -108,9 +112,10 @@
 
 
 class KeyVerdict(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The one decision on a key.
+    """The owner's decision on a key.
 
-    :param verdict: ``run`` goes to exactly one asker, ever.
+    :param verdict: ``run`` is answered to one request only, so that a key runs at most
+        once.
     """
 
     request: str
@@ -118,7 +123,8 @@
 
 
 class KeyReturned(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The asker was told ``run`` and has proof that it did not run."""
+    """Gives back a key that was decided ``run``; the sender has proof that the request
+    did not run."""
 
     request: str
     account: str
@@ -126,13 +132,13 @@
 
 
 class HallDigest(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """One hall in brief, for the others.
+    """Summary of a data hall for the processes of the others.
 
-    :param version: grows with each digest of the hall.
-    :param nodes: node -> config offset in force there.
+    :param version: grows with each digest of the data hall.
+    :param nodes: node -> offset up to which it has applied the configuration stream.
     :param owners: shard -> node.
-    :param services: service -> slots that its endpoints have.
-    :param evacuated: whether operators let nothing further start there.
+    :param services: service -> slots of its endpoints.
+    :param evacuated: whether operators have evacuated the data hall.
     """
 
     hall: str
@@ -144,16 +150,16 @@
 
 
 class HallDigests(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """What the sender knows of all halls, newest digest of each."""
+    """The newest digest of each data hall that the sender knows."""
 
     digests: tuple[HallDigest, ...]
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """A process, as the others know it.
+    """A process of the shard.
 
-    :param address: where its peers reach it, IP:PORT.
-    :param cores: processor share of its box.
+    :param address: its address for peers, IP:PORT.
+    :param cores: processor cores that it may use on its box.
     """
 
     node: str
@@ -163,22 +169,24 @@
 
 
 class NodeStatus(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """What a process of a shard tells some others about itself, several times a second.
+    """Status report of a process of a shard, sent to some others several times a second.
 
-    :param address: where its peers reach it, IP:PORT.
-    :param epoch: the newest epoch that it knows of.
-    :param leader: who decides in that epoch; empty if nobody is known to.
-    :param store_ok: whether the store answered it of late, or was not asked.
+    :param address: its address for peers, IP:PORT.
+    :param epoch: the newest epoch that it knows.
+    :param leader: the leader in that epoch; empty if none is known.
+    :param store_ok: whether the store answered its latest requests; true if it sent
+        none.
     :param ready: whether it may take over.
-    :param cores: processor share of its box.
-    :param successors: from the decider only: who takes over, in this order.
-    :param taking_over: whether it is about to decide; others leave it the time.
-    :param leader_age_ms: how long ago the decider spoke to it, or to the process that
-        it knows it from.
-    :param leader_address: where the decider's peers reach it.
-    :param subscribes: the receiver is to report to the sender for a while.
-    :param asks_members: the receiver is to name the relays.
-    :param members: the relays, if that was asked.
+    :param cores: processor cores that it may use on its box.
+    :param successors: processes that take over, in this order; sent by the leader only.
+    :param taking_over: whether it is taking over; others wait meanwhile.
+    :param leader_age_ms: age of the leader's last message to it, or to the process
+        that relayed the leader's report.
+    :param leader_address: the leader's address for peers.
+    :param subscribes: whether the receiver shall send its reports to the sender, until
+        the subscription expires.
+    :param asks_members: whether the receiver shall answer with the relays.
+    :param members: the relays, if they were asked for.
     """
 
     node: str
@@ -204,17 +212,18 @@
 
 
 class LeaderResigned(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The decider stops; the receiver is to take over now."""
+    """The leader stops; the receiver shall take over now."""
 
     epoch: int
 
 
 class CallForwarded(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """A client's request, for the decider. It may be sent again to another one.
+    """A client's request, forwarded to the leader. It may be sent again to another
+    leader.
 
-    :param number: names the request among all of the sender, in all its lives.
-    :param left_s: seconds until the client gives up.
-    :param reply_to: where the sender's peers reach it, IP:PORT.
+    :param number: unique among the requests of all incarnations of the sender.
+    :param left_s: seconds until the client's deadline.
+    :param reply_to: the sender's address for peers, IP:PORT.
     """
 
     number: int
@@ -227,10 +236,11 @@
 
 
 class CallAnswered(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The decider's answer to a forwarded request.
+    """The leader's answer to a forwarded request.
 
-    :param retry_after_s: when to come back; 0 for no advice.
-    :param why: cause of a failure, for the log of the process that took the request.
+    :param retry_after_s: seconds after which the client shall retry; 0 for no advice.
+    :param why: cause of a failure, for the log of the process that forwarded the
+        request.
     """
 
     number: int
@@ -256,7 +266,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message, its sender, and the trace it belongs to (may be empty)."""
+    """A message, its sender, and its trace context (may be empty)."""
 
     sender: str
     incarnation: str
@@ -269,7 +279,7 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Return the bytes of ``envelope`` as they go between processes."""
+    """Return ``envelope`` as MessagePack, the encoding between processes."""
     return _encoder.encode(envelope)
 
 
--- a/src/granitetrestle/records.py
+++ b/src/granitetrestle/records.py
@@ -1,7 +1,7 @@
-"""Facts as they stand on the platform's log. Only facts on the log outlive a
-process, so every type here is a contract with all later versions: fields are
-added with defaults and never change their meaning. Facts are ``msgspec``
-structs, since a tagged union is what the codec needs to tell them apart."""
+"""Facts: the records that processes append to the platform's log, and their encoding.
+Only facts on the log outlive a process, so every later version must read them: fields
+are added with defaults and never change their meaning. Facts are tagged ``msgspec``
+structs, so that the decoder can tell the types of the union apart."""
 
 import typing as t
 
@@ -33,7 +33,7 @@
     "record_batch",
 ]
 
-# Writers of a stream that are remembered, to recognise batches that stand twice.
+# Writers of a stream that are remembered, to recognise repeated batches.
 MAX_WRITERS: t.Final = 512
 
 CellValue: t.TypeAlias = float | str
@@ -42,16 +42,17 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What an account asks to be run.
+    """Specification of a job, as a client account submits it.
 
     :param kind: ``batch`` finishes by itself; ``service`` runs until cancelled.
-    :param cores: processors of one task.
+    :param cores: processor cores of one task.
     :param memory_gb: memory of one task, in GB.
     :param accelerators: whole accelerators of one task.
-    :param tasks: how many tasks the job has (replicas of a service).
-    :param run_s: declared run time in seconds; a prior only, for batch.
-    :param urgent: ahead of the account's other work, and may evict batch.
-    :param service: name that callers use, for services.
+    :param tasks: number of tasks (replicas of a service).
+    :param run_s: declared run time in seconds of a batch task; an estimate only.
+    :param urgent: whether it starts before the account's other work and may evict
+        batch tasks.
+    :param service: name that callers use; empty for batch jobs.
     """
 
     kind: JobKind
@@ -65,7 +66,7 @@
 
 
 class JobSubmitted(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """A job exists, and ``shard`` of the stream's hall is to run it."""
+    """A job was submitted; ``shard`` of the stream's data hall runs it."""
 
     request: str
     job: str
@@ -75,7 +76,7 @@
 
 
 class JobCancelled(msgspec.Struct, frozen=True, tag=True):
-    """The job is to stop; what has ended stays ended."""
+    """The job was cancelled; tasks that have ended keep their ending."""
 
     request: str
     job: str
@@ -84,7 +85,7 @@
 class AttemptEnded(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
     """Attempt ``attempt`` of a task has provably stopped.
 
-    Counts only if ``epoch`` is the shard's epoch at this point of the log.
+    Applied only if ``epoch`` is the shard's epoch at this point of the log.
     """
 
     task: str
@@ -96,10 +97,11 @@
 
 
 class ShardClaimed(msgspec.Struct, frozen=True, tag=True):
-    """A process asks to own a shard.
+    """A process claims the ownership of a shard.
 
-    Wins if ``previous_epoch`` is still the epoch and the holder has not renewed
-    after offset ``seen_renewal``; the record's offset is then the new epoch.
+    The claim succeeds if ``previous_epoch`` is still the epoch and the owner has not
+    renewed its lease after offset ``seen_renewal``; the record's offset is then the
+    new epoch.
     """
 
     shard: int
@@ -110,7 +112,10 @@
 
 
 class ShardReleased(msgspec.Struct, frozen=True, tag=True):
-    """The owner has stopped deciding for the shard and names who may follow."""
+    """The owner has stopped deciding for the shard.
+
+    :param heir: node that takes over; empty if the owner names none.
+    """
 
     shard: int
     epoch: int
@@ -118,9 +123,10 @@
 
 
 class Beat(msgspec.Struct, frozen=True, array_like=True):
-    """One process's sign of life, numbered by itself.
+    """Heartbeat of one process.
 
-    :param config_offset: offset up to which its table is in force.
+    :param number: grows with each heartbeat of the incarnation.
+    :param config_offset: offset up to which it has applied the configuration stream.
     """
 
     node: str
@@ -131,13 +137,16 @@
 
 
 class Renewed(msgspec.Struct, frozen=True, tag=True):
-    """Signs of life of several processes, gathered into one append."""
+    """Heartbeats of several processes, collected into one append."""
 
     beats: tuple[Beat, ...]
 
 
 class CellEdit(msgspec.Struct, frozen=True):
-    """One cell's new value and the version that the operator saw (0: none)."""
+    """New value of a table cell.
+
+    :param seen_version: version of the cell that the operator saw; 0 if it had none.
+    """
 
     account: str
     column: str
@@ -146,14 +155,14 @@
 
 
 class TableEdited(msgspec.Struct, frozen=True, tag=True):
-    """A change of the table, taken whole or not at all."""
+    """Edits of the table, applied all together or not at all."""
 
     request: str
     edits: tuple[CellEdit, ...]
 
 
 class BoxDrained(msgspec.Struct, frozen=True, tag=True):
-    """An operator wants a box emptied, or gives it back."""
+    """An operator drains a box, or restores it to use."""
 
     request: str
     box: str
@@ -161,15 +170,15 @@
 
 
 class HallEvacuated(msgspec.Struct, frozen=True, tag=True):
-    """An operator wants nothing further to start in the stream's data hall, or gives it
-    back; what runs there goes on."""
+    """An operator evacuates the stream's data hall, or restores it to use. While it is
+    evacuated no further task starts there; tasks that run go on."""
 
     request: str
     evacuated: bool
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, tag=True):
-    """Part ``index`` of ``count`` of the state after the record at ``upto``."""
+    """Chunk ``index`` of ``count`` of the snapshot after the record at ``upto``."""
 
     upto: int
     index: int
@@ -194,7 +203,8 @@
 class Batch(msgspec.Struct, frozen=True):
     """The facts of one append.
 
-    ``(writer, seq)`` is the record id: a batch that stands twice counts once.
+    ``(writer, seq)`` is the record id: a batch that is on the log twice, as a writer
+    repeats appends whose answer was lost, is applied once.
     """
 
     writer: str
@@ -203,7 +213,7 @@
 
 
 class LogRecord(t.NamedTuple):
-    """A batch with the offset and wall time (seconds) the log gave it."""
+    """A batch with the offset and wall time (seconds) that the log assigned to it."""
 
     offset: int
     at: float
@@ -211,9 +221,10 @@
 
 
 def record_batch(writers: dict[str, int], batch: Batch) -> bool:
-    """Say whether a batch is seen for the first time, and note that it was.
+    """Record that a batch was read; return whether it was read for the first time.
 
-    :param writers: the last sequence number of each writer, the newest writer last.
+    :param writers: the last sequence number of each writer, the writer of the newest
+        batch last.
     """
     if batch.seq <= writers.get(batch.writer, 0):
         return False
@@ -229,7 +240,7 @@
 
 
 def encode_batch(batch: Batch) -> bytes:
-    """Return the bytes of ``batch`` as they go onto the log."""
+    """Return ``batch`` as JSON, the encoding on the log."""
     return _encoder.encode(batch)
 
 
--- a/src/granitetrestle/snapshot.py
+++ b/src/granitetrestle/snapshot.py
@@ -1,6 +1,6 @@
-"""Snapshots of a stream's state, so that a process can start although the log
-has dropped old records. A snapshot is a pure function of the records up to an
-offset, cut into chunks that stand on a stream of their own."""
+"""Snapshots of a stream's state, from which a process can start after the log has
+dropped old records. A snapshot is a pure function of the records up to an offset. It
+is split into chunks, which are appended to a separate stream."""
 
 import typing as t
 import zlib
@@ -29,14 +29,22 @@
 
 
 class ConfigState(msgspec.Struct):
-    """What the configuration stream says, and the record ids it has seen."""
+    """State of the configuration stream.
+
+    :param rows: account -> column -> cell.
+    :param writers: the last sequence number of each writer.
+    """
 
     rows: dict[str, dict[str, Cell]]
     writers: dict[str, int]
 
 
 class HallState(msgspec.Struct):
-    """What a hall's stream says, and the record ids it has seen."""
+    """State of a data hall's stream.
+
+    :param drained: boxes that operators drain.
+    :param writers: the last sequence number of each writer.
+    """
 
     jobs: list[Job]
     shards: dict[int, ShardState]
@@ -51,7 +59,7 @@
 
 
 def encode_state(state: ConfigState | HallState) -> bytes:
-    """Return the bytes of a snapshot."""
+    """Return ``state`` as compressed MessagePack."""
     return zlib.compress(msgspec.msgpack.encode(state), 1)
 
 
@@ -81,7 +89,10 @@
 
 
 def split_snapshot(upto: int, payload: bytes) -> tuple[SnapshotChunk, ...]:
-    """Cut a snapshot into records of bounded size."""
+    """Split a snapshot into chunks of up to ``MAX_CHUNK_BYTES``.
+
+    :param upto: offset of the last record that the snapshot covers.
+    """
     parts = [
         payload[start : start + MAX_CHUNK_BYTES]
         for start in range(0, len(payload), MAX_CHUNK_BYTES)
@@ -92,7 +103,7 @@
 
 
 class SnapshotAssembler:
-    """Finds the newest whole snapshot among the records of its stream."""
+    """Assembles the newest complete snapshot from the records of its stream."""
 
     def __init__(self) -> None:
         self._parts: dict[tuple[str, int, int], dict[int, bytes]] = {}
@@ -100,11 +111,12 @@
 
     @property
     def newest(self) -> tuple[int, bytes] | None:
-        """Offset that the newest whole snapshot covers, and its bytes."""
+        """Offset up to which the newest complete snapshot covers the stream, and its
+        bytes."""
         return self._newest
 
     def add(self, records: t.Iterable[LogRecord]) -> None:
-        """Take in records in the order of the log."""
+        """Add records, in the order of the log."""
         for record in records:
             for fact in record.batch.facts:
                 if isinstance(fact, SnapshotChunk):
