--- a/src/granitetrestle/callpath.py
+++ b/src/granitetrestle/callpath.py
@@ -160,8 +160,8 @@
     def _log_outcome(self, event: RequestArrived, outcome: Outcome) -> None:
         log = self._engine.telemetry.log
         # What may have run is worth a line each; the rest is counted.
-        write = log.info if isinstance(outcome, Unknown) else log.debug
-        write(
+        log_method = log.info if isinstance(outcome, Unknown) else log.debug
+        log_method(
             "request",
             account=event.account,
             request=event.request,
@@ -225,8 +225,8 @@
 def _forwarded_headers(
     headers: dict[bytes, bytes], account: str
 ) -> tuple[tuple[bytes, bytes], ...]:
-    kept = [(name, headers[name]) for name in FORWARDED_HEADERS if name in headers]
-    return ((ACCOUNT, account.encode()), *kept)
+    copied = [(name, headers[name]) for name in FORWARDED_HEADERS if name in headers]
+    return ((ACCOUNT, account.encode()), *copied)
 
 
 def _numeric_header(headers: dict[bytes, bytes], name: bytes, default: float) -> float:
--- a/src/granitetrestle/engine.py
+++ b/src/granitetrestle/engine.py
@@ -115,7 +115,7 @@
         )
         for peer in settings.peers:
             self._peers.connect(peer.node, str(peer.zmq))
-        self._http = {peer.node: str(peer.http) for peer in settings.peers}
+        self._http_addresses = {peer.node: str(peer.http) for peer in settings.peers}
         self._own_stream = hall_stream(settings.hall)
         self._streams = (CONFIG_STREAM, self._own_stream)
         self._writers = {
@@ -158,7 +158,7 @@
 
     def http_address(self, node: str) -> str | None:
         """Return where a process of the system listens for HTTP."""
-        return self._http.get(node)
+        return self._http_addresses.get(node)
 
     async def run(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start everything that runs beside the HTTP server."""
@@ -204,7 +204,7 @@
             case SendPeer():
                 self._send_peer(effect.node, effect.message)
             case CommandBox():
-                self._start(self._exchange_with_box, effect)
+                self._start_task(self._exchange_with_box, effect)
             case Dispatch() | Forward():
                 self._assign_call(effect)
             case Conclude():
@@ -218,7 +218,7 @@
             case LogEvent():
                 self._log_note(effect)
 
-    def _start(
+    def _start_task(
         self, function: t.Callable[..., t.Coroutine[t.Any, t.Any, None]], *args: t.Any
     ) -> None:
         assert self._tasks is not None
@@ -233,7 +233,7 @@
 
     def _send_peer(self, node: str, message: Message) -> None:
         if node == self._settings.node:
-            self._start(self._deliver_to_self, message)
+            self._start_task(self._deliver_to_self, message)
         else:
             self._peers.send(node, message)
 
@@ -260,7 +260,7 @@
 
     async def submit_change(self, request: str, event: Event) -> Outcome:
         """Apply a change and wait for its outcome."""
-        outcome, _ = await self._wait(request, event, None, None)
+        outcome, _ = await self._wait_for_outcome(request, event, None, None)
         return outcome
 
     async def call(
@@ -275,9 +275,11 @@
             request waits for a slot, since a call once sent runs to its end.
         :raises CallerGone: if the caller hung up before its request was sent.
         """
-        return await self._wait(event.request, event, body, wait_for_disconnect)
+        return await self._wait_for_outcome(
+            event.request, event, body, wait_for_disconnect
+        )
 
-    async def _wait(
+    async def _wait_for_outcome(
         self,
         request: str,
         event: Event,
@@ -328,16 +330,16 @@
 
     async def _call_peer(self, waiter: _Waiter, effect: Forward) -> None:
         assert waiter.body is not None
-        address = self._http.get(effect.node)
+        address = self._http_addresses.get(effect.node)
         if address is None:
             proof = Proof(False, f"no address of {effect.node}")
             self._dispatch_failure(effect.request, effect.serial, proof)
             return
-        left_ms = max(1, int((effect.peer_deadline - time.monotonic()) * 1000))
+        remaining_ms = max(1, int((effect.peer_deadline - time.monotonic()) * 1000))
         headers = [
             (PEER_TOKEN_HEADER, self._settings.peer_token.encode()),
             (HOPS_HEADER, str(effect.hops).encode()),
-            (DEADLINE_MS_HEADER, str(left_ms).encode()),
+            (DEADLINE_MS_HEADER, str(remaining_ms).encode()),
             *waiter.body.headers,
         ]
         if effect.key_granted:
@@ -434,8 +436,10 @@
     async def _tick_loop(self) -> None:
         while True:
             self._tick()
-            due = self._reducer.requests.next_deadline - time.monotonic()
-            await anyio.sleep(min(MAX_TICK_INTERVAL_S, max(MIN_TICK_INTERVAL_S, due)))
+            until_deadline_s = self._reducer.requests.next_deadline - time.monotonic()
+            await anyio.sleep(
+                min(MAX_TICK_INTERVAL_S, max(MIN_TICK_INTERVAL_S, until_deadline_s))
+            )
 
     def _tick(self) -> None:
         self.dispatch(Tick(time.monotonic(), time.time()))
--- a/src/granitetrestle/intake.py
+++ b/src/granitetrestle/intake.py
@@ -87,10 +87,10 @@
         total_cores = sum(cores_by_shard)
         if not total_cores:
             return int(hash_fraction * self._shards)
-        point = hash_fraction * total_cores
+        remaining_cores = hash_fraction * total_cores
         for shard, shard_cores in enumerate(cores_by_shard):
-            point -= shard_cores
-            if point < 0:
+            remaining_cores -= shard_cores
+            if remaining_cores < 0:
                 return shard
         return self._shards - 1
 
--- a/src/granitetrestle/jobs.py
+++ b/src/granitetrestle/jobs.py
@@ -109,7 +109,7 @@
 
     def __init__(self) -> None:
         self._jobs: dict[str, Job] = {}
-        self._open: dict[int, dict[str, Job]] = {}
+        self._open_by_shard: dict[int, dict[str, Job]] = {}
         self._ended_order: dict[str, None] = {}
 
     @property
@@ -119,7 +119,7 @@
 
     def open_jobs(self, shard: int) -> t.Mapping[str, Job]:
         """Return the jobs of ``shard`` with a task that has not ended."""
-        return self._open.get(shard, {})
+        return self._open_by_shard.get(shard, {})
 
     def find_task(self, task: str) -> tuple[Job, Task] | None:
         """Return the task with this name and its job, if known."""
@@ -136,7 +136,7 @@
             name = task_id(fact.job, index)
             job.tasks[name] = Task(name, attempt=1, opened=offset)
         self._jobs[fact.job] = job
-        self._open.setdefault(fact.shard, {})[fact.job] = job
+        self._open_by_shard.setdefault(fact.shard, {})[fact.job] = job
         return job
 
     def apply_cancelled(self, fact: JobCancelled) -> Job | None:
@@ -185,7 +185,7 @@
         return task.failures < MAX_TASK_FAILURES
 
     def _close_job(self, job: Job) -> None:
-        self._open.get(job.shard, {}).pop(job.job, None)
+        self._open_by_shard.get(job.shard, {}).pop(job.job, None)
         self._ended_order[job.job] = None
         while len(self._ended_order) > MAX_ENDED_JOBS:
             oldest = next(iter(self._ended_order))
@@ -206,4 +206,4 @@
             if job.ended:
                 self._ended_order[job.job] = None
             else:
-                self._open.setdefault(job.shard, {})[job.job] = job
+                self._open_by_shard.setdefault(job.shard, {})[job.job] = job
--- a/src/granitetrestle/loglink.py
+++ b/src/granitetrestle/loglink.py
@@ -96,7 +96,7 @@
     async def read(
         self, stream: str, offset: int, wait_s: float = DEFAULT_READ_WAIT_S
     ) -> LogPage:
-        """Read from ``offset`` on, waiting up to ``wait_s`` seconds for new records.
+        """Read from ``offset`` on, queue_length up to ``wait_s`` seconds for new records.
 
         :raises LogUnavailable: if there is no valid answer.
         :raises LogGapError: if the log has dropped the record at ``offset``.
@@ -149,11 +149,11 @@
     :raises LogUnavailable: if the log can't be read.
     """
     assembly = SnapshotAssembler()
-    source = snapshot_stream(stream)
+    snapshots = snapshot_stream(stream)
     offset = 1
     while True:
         try:
-            page = await client.read(source, offset, wait_s=0.0)
+            page = await client.read(snapshots, offset, wait_s=0.0)
         except LogGapError as error:
             offset = error.first
             continue
@@ -185,7 +185,7 @@
         self._writer = writer
         self._appended = appended
         self._clock_ns = clock_ns
-        self._waiting: collections.OrderedDict[str, tuple[Fact, ...]] = (
+        self._queue: collections.OrderedDict[str, tuple[Fact, ...]] = (
             collections.OrderedDict()
         )
         self._generated_names = 0
@@ -196,9 +196,9 @@
         self._read_seen = anyio.Event()
 
     @property
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Number of queued entries that were not sent yet."""
-        return len(self._waiting)
+        return len(self._queue)
 
     def put(self, effect: AppendFacts) -> None:
         """Queue facts for the next append; with ``latest_only`` they replace queued
@@ -207,16 +207,16 @@
         if not name:
             self._generated_names += 1
             name = f"#{self._generated_names}"
-        if name in self._waiting and not effect.latest_only:
+        if name in self._queue and not effect.latest_only:
             self._generated_names += 1
             name = f"{name}#{self._generated_names}"
-        self._waiting[name] = effect.facts
+        self._queue[name] = effect.facts
         self._facts_queued.set()
 
     def withdraw(self, request: str) -> bool:
         """Remove a request's facts from the queue; ``True`` proves that they were not
         sent."""
-        return self._waiting.pop(request, None) is not None
+        return self._queue.pop(request, None) is not None
 
     def observe(self, records: t.Sequence[LogRecord], tail: bool) -> None:
         """Record which of this writer's batches are on the log.
@@ -236,7 +236,7 @@
         while True:
             await self._facts_queued.wait()
             self._facts_queued = anyio.Event()
-            while self._waiting:
+            while self._queue:
                 names, facts = self._next_batch()
                 self._seq += 1
                 batch = Batch(self._writer, self._seq, tuple(facts))
@@ -247,8 +247,8 @@
     def _next_batch(self) -> tuple[list[str], list[Fact]]:
         names: list[str] = []
         facts: list[Fact] = []
-        while self._waiting and len(facts) < BATCH_FACTS_THRESHOLD:
-            name, queued_facts = self._waiting.popitem(last=False)
+        while self._queue and len(facts) < BATCH_FACTS_THRESHOLD:
+            name, queued_facts = self._queue.popitem(last=False)
             names.append(name)
             facts += queued_facts
             if any(isinstance(fact, SnapshotChunk) for fact in queued_facts):
@@ -271,9 +271,9 @@
     async def _wait_for_read_back(self, seq: int) -> None:
         """Wait until the batch was read back, or two reads reached the stream's end
         without it; the first of them may have been under way before the append."""
-        reads = self._tail_reads
+        earlier_reads = self._tail_reads
         with anyio.move_on_after(READ_BACK_TIMEOUT_S):
-            while self._last_seen_seq < seq and self._tail_reads < reads + 2:
+            while self._last_seen_seq < seq and self._tail_reads < earlier_reads + 2:
                 await self._read_seen.wait()
 
 
