--- a/src/granitetrestle/callpath.py
+++ b/src/granitetrestle/callpath.py
@@ -1,5 +1,5 @@
-"""The hot path of the HTTP API: ``POST /v1/services/NAME/call``. A plain ASGI
-function, since every step here is paid by each unlock and booking."""
+"""Hot path of the HTTP API: ``POST /v1/services/NAME/call``. It is a plain ASGI
+application, without a framework, since each step adds to the latency of every call."""
 
 import contextlib
 import functools
@@ -68,7 +68,7 @@
 
 
 class CallPath:
-    """ASGI application for calls of services."""
+    """ASGI application that serves calls to services."""
 
     def __init__(self, engine: Engine, access: Access) -> None:
         self._engine = engine
@@ -109,23 +109,30 @@
     ) -> RequestArrived:
         service = scope["path"].split("/")[3]
         if not SERVICE_PATTERN.fullmatch(service):
-            raise InvalidInput("bad service name")
+            raise InvalidInput(
+                f"service {service!r} must be a name of a-z, 0-9 and -, "
+                "with up to 63 characters"
+            )
         peer = self._access.is_peer(headers.get(PEER_TOKEN_HEADER, b""))
         now = time.monotonic()
         key = headers.get(b"idempotency-key", b"").decode("latin-1")
         if len(key) > MAX_KEY_LENGTH:
-            raise InvalidInput(f"a key has up to {MAX_KEY_LENGTH} characters")
+            raise InvalidInput(
+                f"Idempotency-Key must have up to {MAX_KEY_LENGTH} characters, "
+                f"not {len(key)}"
+            )
         issued_at = _numeric_header(headers, b"idempotency-issued-at", 0.0)
         if key and not issued_at:
             raise InvalidInput(
-                "a key needs Idempotency-Issued-At",
+                "Idempotency-Key requires Idempotency-Issued-At",
                 "send the time (seconds since 1970) at which the key was made",
             )
         wall = time.time()
         if issued_at > wall + MAX_KEY_AHEAD_S:
             raise InvalidInput(
-                f"the key was made in the future (it is {wall:.3f} here)",
-                "set the caller's clock, or use the time of this answer",
+                f"Idempotency-Issued-At {issued_at:.3f} is in the future; "
+                f"the time here is {wall:.3f}",
+                "correct the caller's clock, or use the time of this answer",
             )
         return RequestArrived(
             now=now,
@@ -154,12 +161,12 @@
         authorization = headers.get(b"authorization", b"").decode("latin-1")
         caller = self._access.authenticate(authorization)
         if caller.role is not Role.ACCOUNT:
-            raise AccessDenied("services are called by accounts")
+            raise AccessDenied("only client accounts may call services")
         return caller.account
 
     def _log_outcome(self, event: RequestArrived, outcome: Outcome) -> None:
         log = self._engine.telemetry.log
-        # What may have run is worth a line each; the rest is counted.
+        # Requests that may have run are logged one by one; metrics count the others.
         log_method = log.info if isinstance(outcome, Unknown) else log.debug
         log_method(
             "request",
@@ -218,7 +225,7 @@
 
 def _request_id(headers: dict[bytes, bytes], peer: bool) -> str:
     peer_request_id = headers.get(REQUEST_ID_HEADER, b"").decode("latin-1")
-    # A caller's own id could collide with another account's; a peer's can't.
+    # An id from a caller could equal another account's; ids of peers are unique.
     return peer_request_id if peer and peer_request_id else uuid.uuid4().hex
 
 
@@ -238,7 +245,9 @@
     except ValueError:
         value = -1.0
     if not 0 <= value < 1e12:
-        raise InvalidInput(f"header {name.decode()} is not a number in range")
+        raise InvalidInput(
+            f"header {name.decode()} must be at least 0 and below 1e12, not {text!r}"
+        )
     return value
 
 
@@ -253,11 +262,11 @@
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise InvalidInput("the caller hung up")
+            raise InvalidInput("the caller closed the connection within the body")
         chunk = message.get("body", b"")
         size += len(chunk)
         if size > MAX_BODY_BYTES:
-            raise InvalidInput(f"a body has up to {MAX_BODY_BYTES} bytes")
+            raise InvalidInput(f"the body must have up to {MAX_BODY_BYTES} bytes")
         chunks.append(chunk)
         if not message.get("more_body", False):
             return b"".join(chunks)
@@ -275,7 +284,7 @@
         (REQUEST_ID_HEADER, request_id),
         (b"content-length", str(len(body)).encode()),
     ]
-    # The caller may be gone; there is nobody left to tell.
+    # The caller may have left; then nobody needs the answer.
     with contextlib.suppress(OSError):
         await send(
             {"type": "http.response.start", "status": status, "headers": headers}
--- a/src/granitetrestle/engine.py
+++ b/src/granitetrestle/engine.py
@@ -1,7 +1,7 @@
-"""Runs the reducer among the adapters: turns what happens into events, carries
-out the effects, and keeps what the reducer need not see (bodies, trace
-contexts). A broken invariant ends the process: leases bound the harm, and a
-process that replaces it starts from the log."""
+"""Event loop of one process on the older path: turns input of the adapters into events
+for the reducer, executes the effects, and keeps data that the reducer does not need
+(bodies, trace contexts). A violated invariant ends the process: its leases expire, which
+bounds the harm, and the process that replaces it restores its state from the log."""
 
 import time
 import typing as t
@@ -68,7 +68,7 @@
 
 
 class CallBody(t.NamedTuple):
-    """What the reducer need not see of a request."""
+    """Parts of a request that the reducer does not need."""
 
     path: str
     headers: tuple[tuple[bytes, bytes], ...]
@@ -76,7 +76,11 @@
 
 
 class _Waiter:
-    """Somebody waiting for the outcome of a request."""
+    """State of a request whose task waits for its outcome.
+
+    :ivar next_call: the call that the task makes next.
+    :ivar wakeup: set when ``next_call`` or ``outcome`` has changed.
+    """
 
     __slots__ = ("body", "context", "next_call", "outcome", "reply", "wakeup")
 
@@ -89,12 +93,12 @@
         self.next_call: Dispatch | Forward | None = None
 
     def wake(self) -> None:
-        """Let the waiting task look again."""
+        """Let the waiting task check its state."""
         self.wakeup.set()
 
 
 class Engine:
-    """One process: the reducer, its adapters, and the tasks between them."""
+    """The reducer of one process, its adapters, and the tasks that connect them."""
 
     def __init__(
         self,
@@ -138,7 +142,7 @@
 
     @property
     def reducer(self) -> Reducer:
-        """The decisions."""
+        """The state machine that takes the decisions."""
         return self._reducer
 
     @property
@@ -153,15 +157,15 @@
 
     @property
     def caller(self) -> Caller:
-        """HTTP calls to peers."""
+        """HTTP client for endpoints, peers, boxes and the log."""
         return self._caller
 
     def http_address(self, node: str) -> str | None:
-        """Return where a process of the system listens for HTTP."""
+        """Return the HTTP address of a process of the system, if known."""
         return self._http_addresses.get(node)
 
     async def run(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start everything that runs beside the HTTP server."""
+        """Start the background tasks in ``tasks``."""
         self._tasks = tasks
         tasks.start_soon(self._tick_loop)
         tasks.start_soon(self._peer_loop)
@@ -173,18 +177,18 @@
             tasks.start_soon(writer.run)
 
     def _make_feed(self, stream: str) -> LogFeed:
-        # The hall's stream shows who is alive, so silence there must be seen.
+        # The data hall's stream has the heartbeats; a long wait would hide their absence.
         wait_s = HALL_READ_WAIT_S if stream == self._own_stream else CONFIG_READ_WAIT_S
         return LogFeed(
             self._log_client, stream, wait_s, self._reducer, self, self._telemetry.log
         )
 
     def handle_log_read(self, event: LogRead) -> None:
-        """Apply a read of the log, and let the writer see what stands there."""
+        """Apply a read of the log, and show it to the stream's writer."""
         self.dispatch(event)
         self._writers[event.stream].observe(event.records, event.tail)
         if event.records:
-            # News may be a job to start; it need not wait for the next tick.
+            # A new record may be a job, which would else wait for the next tick.
             self._tick()
 
     def close(self) -> None:
@@ -192,7 +196,7 @@
         self._peers.close()
 
     def dispatch(self, event: Event) -> None:
-        """Apply an event and carry out its effects."""
+        """Apply an event and execute its effects."""
         for effect in self._reducer.step(event):
             self._execute(effect)
 
@@ -225,7 +229,7 @@
         self._tasks.start_soon(function, *args)
 
     def _assign_call(self, effect: Dispatch | Forward) -> None:
-        """Let the request's own task make the call; it needs no second one."""
+        """Let the request's waiting task make the call; no further task is needed."""
         waiter = self._waiters.get(effect.request)
         if waiter is not None:
             waiter.next_call = effect
@@ -259,7 +263,7 @@
             waiter.wake()
 
     async def submit_change(self, request: str, event: Event) -> Outcome:
-        """Apply a change and wait for its outcome."""
+        """Dispatch a requested change and wait for its outcome."""
         outcome, _ = await self._wait_for_outcome(request, event, None, None)
         return outcome
 
@@ -269,11 +273,13 @@
         body: CallBody,
         wait_for_disconnect: t.Callable[[], t.Awaitable[None]],
     ) -> tuple[Outcome, Reply | None]:
-        """Serve a caller's request; a reply comes with ``Answered`` alone.
+        """Serve a caller's request.
 
-        :param hung_up: returns when the caller has hung up; looked at while the
-            request waits for a slot, since a call once sent runs to its end.
-        :raises CallerGone: if the caller hung up before its request was sent.
+        :param wait_for_disconnect: returns when the caller has closed the connection;
+            used only while the request waits for a slot, since a call that was sent runs
+            to its end.
+        :returns: the outcome, and the reply if it is ``Answered``.
+        :raises CallerGone: if the caller left before its request was sent.
         """
         return await self._wait_for_outcome(
             event.request, event, body, wait_for_disconnect
@@ -332,7 +338,7 @@
         assert waiter.body is not None
         address = self._http_addresses.get(effect.node)
         if address is None:
-            proof = Proof(False, f"no address of {effect.node}")
+            proof = Proof(False, f"no HTTP address of peer {effect.node}")
             self._dispatch_failure(effect.request, effect.serial, proof)
             return
         remaining_ms = max(1, int((effect.peer_deadline - time.monotonic()) * 1000))
@@ -378,7 +384,7 @@
             carrier: dict[str, str] = {}
             PROPAGATOR.inject(carrier)
             headers += [(k.encode(), v.encode()) for k, v in carrier.items()]
-            # Each try has an id of its own: a late one must not meet a new one.
+            # With an id for each attempt, an answer to an earlier one is recognised.
             headers.append((REQUEST_ID_HEADER, _attempt_id(request, serial)))
             timeout_s = deadline - time.monotonic()
             outcome = await self._caller.call(
@@ -463,7 +469,7 @@
             await self._caller.prune()
 
     async def stop(self) -> None:
-        """Hand over and finish, for as long as the settings allow."""
+        """Hand over the shards and finish requests, for up to ``stop_grace_s``."""
         self.dispatch(StopRequested(time.monotonic()))
         with anyio.move_on_after(self._settings.stop_grace_s):
             while not self._reducer.stopped:
@@ -490,7 +496,7 @@
         await waiter.wakeup.wait()
         tasks.cancel_scope.cancel()
     if disconnected and not waiter.wakeup.is_set():
-        raise CallerGone("the caller hung up")
+        raise CallerGone("the caller closed the connection")
 
 
 def _attempt_id(request: str, serial: int) -> bytes:
--- a/src/granitetrestle/intake.py
+++ b/src/granitetrestle/intake.py
@@ -1,5 +1,5 @@
-"""What accounts and operators ask for: checked against what is known here, then
-put on its way to the log. A job that can never run is refused at once."""
+"""Requests of client accounts and operators for changes: validated against the state of
+this process, then submitted to the log. A job that can never run is rejected at once."""
 
 import typing as t
 import zlib
@@ -30,9 +30,11 @@
 
 
 class Intake:
-    """Turns wishes into facts, or into a refusal.
+    """Turns requested changes into facts, or rejects them.
 
-    :param stream: the hall's stream; ``config_stream`` takes edits of the table.
+    :param stream: the data hall's stream.
+    :param config_stream: the configuration stream, which has the edits of the table.
+    :param shards: number of shards of the data hall.
     """
 
     def __init__(
@@ -54,15 +56,15 @@
         self._submissions = submissions
 
     def job_submit(self, event: JobSubmitRequested) -> list[Effect]:
-        """Submit a job to the shard that its name draws."""
+        """Submit a job to the shard that a hash of its name selects."""
         need = Vector.of(event.spec)
         totals = self._box_totals()
         if never_fits(need, totals.values()):
-            text = "no box of this hall is large enough for one task"
+            text = "no box of this data hall is large enough for one task"
             return _reject(event.request, Reason.CAN_NEVER_RUN, text)
         limit = self._table.number(event.account, "max_cores") / self._shards
         if need.cores > limit:
-            text = f"one task takes {need.cores:g} cores, the limit is {limit:g}"
+            text = f"one task needs {need.cores:g} cores, the limit is {limit:g}"
             return _reject(event.request, Reason.CAN_NEVER_RUN, text)
         shard = self._choose_shard(event.job, need, totals)
         fact = JobSubmitted(event.request, event.job, event.account, event.spec, shard)
@@ -78,7 +80,8 @@
     def _choose_shard(
         self, job: str, need: Vector, totals: t.Mapping[str, Vector]
     ) -> int:
-        """Pick a shard by the job's name, in proportion to fitting cores."""
+        """Choose a shard by a hash of the job's name, in proportion to the cores of each
+        shard's boxes that are large enough for a task."""
         cores_by_shard = [0.0] * self._shards
         for box, total in totals.items():
             if need.fits(total):
@@ -95,7 +98,7 @@
         return self._shards - 1
 
     def job_cancel(self, event: JobCancelRequested) -> list[Effect]:
-        """Cancel a job of the account, or any for an operator."""
+        """Cancel a job; an operator (empty account) may cancel those of all accounts."""
         job = self._jobs.jobs.get(event.job)
         if job is None or event.account not in ("", job.account):
             return _reject(event.request, Reason.NOT_FOUND, f"no job {event.job}")
@@ -103,21 +106,21 @@
         return self._submissions.submit(event.request, self._stream, fact, event.now)
 
     def table_edit(self, event: TableEditRequested) -> list[Effect]:
-        """Change cells of the table."""
+        """Edit cells of the table."""
         fact = TableEdited(event.request, event.edits)
         stream = self._config_stream
         return self._submissions.submit(event.request, stream, fact, event.now)
 
     def box_drain(self, event: BoxDrainRequested) -> list[Effect]:
-        """Drain a box of this hall, or give it back."""
+        """Drain a box of this data hall, or restore it to use."""
         if event.box not in (self._placement.listed or {}):
-            text = f"no box {event.box} in this hall"
+            text = f"no box {event.box} in this data hall"
             return _reject(event.request, Reason.NOT_FOUND, text)
         fact = BoxDrained(event.request, event.box, event.drained)
         return self._submissions.submit(event.request, self._stream, fact, event.now)
 
     def hall_evacuate(self, event: HallEvacuateRequested) -> list[Effect]:
-        """Evacuate this process's data hall, or give it back."""
+        """Evacuate this process's data hall, or restore it to use."""
         fact = HallEvacuated(event.request, event.evacuated)
         return self._submissions.submit(event.request, self._stream, fact, event.now)
 
--- a/src/granitetrestle/loglink.py
+++ b/src/granitetrestle/loglink.py
@@ -197,7 +197,7 @@
 
     @property
     def queue_length(self) -> int:
-        """Number of queued entries that were not sent yet."""
+        """Number of entries that wait to be appended."""
         return len(self._queue)
 
     def put(self, effect: AppendFacts) -> None:
