--- a/src/granitetrestle/engine.py
+++ b/src/granitetrestle/engine.py
@@ -242,11 +242,9 @@
             self._peers.send(node, message)
 
     async def _deliver_to_self(self, message: Message) -> None:
-        self._dispatch_peer_message(self._settings.node, self._incarnation, message)
+        self._on_message(self._settings.node, self._incarnation, message)
 
-    def _dispatch_peer_message(
-        self, sender: str, incarnation: str, message: Message
-    ) -> None:
+    def _on_message(self, sender: str, incarnation: str, message: Message) -> None:
         now, wall = time.monotonic(), time.time()
         self.dispatch(PeerMessage(now, wall, sender, incarnation, message))
 
@@ -339,7 +337,7 @@
         address = self._http_addresses.get(effect.node)
         if address is None:
             proof = Proof(False, f"no HTTP address of peer {effect.node}")
-            self._dispatch_failure(effect.request, effect.serial, proof)
+            self._fail_call(effect.request, effect.serial, proof)
             return
         remaining_ms = max(1, int((effect.peer_deadline - time.monotonic()) * 1000))
         headers = [
@@ -396,24 +394,22 @@
         self, request: str, serial: int, waiter: _Waiter, outcome: Reply | CallFailure
     ) -> None:
         if isinstance(outcome, CallFailure):
-            self._dispatch_failure(request, serial, outcome.proof)
+            self._fail_call(request, serial, outcome.proof)
             return
         if outcome.header(REQUEST_ID_HEADER) != _attempt_id(request, serial):
-            self._dispatch_failure(
-                request, serial, Proof(True, "answer to another request")
-            )
+            self._fail_call(request, serial, Proof(True, "answer to another request"))
             return
         reported_outcome = outcome.header(OUTCOME_HEADER)
         if reported_outcome in (b"not_run", b"unknown"):
             text = outcome.body.decode(errors="replace")[:300]
-            self._dispatch_failure(
+            self._fail_call(
                 request, serial, Proof(reported_outcome == b"unknown", text)
             )
             return
         waiter.reply = outcome
         self.dispatch(AnswerArrived(time.monotonic(), request, serial))
 
-    def _dispatch_failure(self, request: str, serial: int, proof: Proof) -> None:
+    def _fail_call(self, request: str, serial: int, proof: Proof) -> None:
         self._telemetry.metrics.count("call.failed")
         self.dispatch(AnswerFailed(time.monotonic(), request, serial, proof))
 
@@ -452,9 +448,7 @@
 
     async def _peer_loop(self) -> None:
         async for envelope in self._peers.receive():
-            self._dispatch_peer_message(
-                envelope.sender, envelope.incarnation, envelope.message
-            )
+            self._on_message(envelope.sender, envelope.incarnation, envelope.message)
 
     async def _box_list_loop(self) -> None:
         while True:
