--- a/src/granitetrestle/jobs.py
+++ b/src/granitetrestle/jobs.py
@@ -86,7 +86,8 @@
     """
     if spec.kind == "service" and not SERVICE_PATTERN.fullmatch(spec.service):
         raise InvalidInput(
-            f"service {spec.service!r} of a service job must be a name of a-z, 0-9 and -"
+            f"service {spec.service!r} must be a name of a-z, 0-9 and -, "
+            "with up to 63 characters"
         )
     if spec.kind == "batch" and spec.service:
         raise InvalidInput(f"a batch job must have no service, not {spec.service!r}")
@@ -99,7 +100,7 @@
         ("accelerators", float(spec.accelerators), 64.0),
     ):
         if not 0 <= value <= maximum:
-            raise InvalidInput(f"{name} must be from 0 to {maximum:g}, not {value:g}")
+            raise InvalidInput(f"{name} must be from 0 to {maximum:g}, not {value}")
     if spec.cores <= 0 or spec.memory_gb <= 0:
         raise InvalidInput("cores and memory_gb must be greater than 0")
 
