--- a/src/granitetrestle/engine.py
+++ b/src/granitetrestle/engine.py
@@ -382,7 +382,7 @@
             carrier: dict[str, str] = {}
             PROPAGATOR.inject(carrier)
             headers += [(k.encode(), v.encode()) for k, v in carrier.items()]
-            # With an id for each attempt, an answer to an earlier one is recognised.
+            # Each attempt has its own id: a late one must not be taken for a new one.
             headers.append((REQUEST_ID_HEADER, _attempt_id(request, serial)))
             timeout_s = deadline - time.monotonic()
             outcome = await self._caller.call(
--- a/src/granitetrestle/loglink.py
+++ b/src/granitetrestle/loglink.py
@@ -96,7 +96,7 @@
     async def read(
         self, stream: str, offset: int, wait_s: float = DEFAULT_READ_WAIT_S
     ) -> LogPage:
-        """Read from ``offset`` on, queue_length up to ``wait_s`` seconds for new records.
+        """Read from ``offset`` on, waiting up to ``wait_s`` seconds for new records.
 
         :raises LogUnavailable: if there is no valid answer.
         :raises LogGapError: if the log has dropped the record at ``offset``.
