--- a/src/granitetrestle/ownedshard.py
+++ b/src/granitetrestle/ownedshard.py
@@ -62,7 +62,7 @@
 
     def load_jobs(self, jobs: Jobs) -> None:
         """Add the tasks of every open job of the shard, as waiting or as uncertain."""
-        for job in jobs.open_in(self.shard).values():
+        for job in jobs.open_jobs(self.shard).values():
             for task in job.tasks.values():
                 self.add_task(job, task)
 
