--- a/features/native_machines.py
+++ b/features/native_machines.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from granitetrestle.workflows import Step
-from granitetrestle_standins.shardworld import HALLS
+from granitetrestle_standins.shardworld import HALLS_TOPIC
 from granitetrestle_standins.shardworld import ShardWorld
 from machines import CHOICE
 from machines import PROFILE
@@ -87,7 +87,7 @@
         step = choice % len(steps)
         index = choice % steps[step].count
         self.world.box_crashes.crashing.add(f"{job}.0.{step}.{index}")
-        self.world.box_crashes.unanswered = unanswered
+        self.world.box_crashes.crash_before_answer = unanswered
 
     @rule(choice=CHOICE, seconds=st.sampled_from([0.5, 2.0, 4.0, 8.0]))
     def cut_box(self, choice, seconds):
@@ -95,9 +95,9 @@
 
     @rule(late=SHARE, lost=SHARE, fail=SHARE)
     def disturb(self, late, lost, fail):
-        self.world.late_share = late / 2
-        self.world.lost_share = lost / 2
-        self.world.fail_share = fail / 2
+        self.world.delayed_share = late / 2
+        self.world.lost_answer_share = lost / 2
+        self.world.task_failure_share = fail / 2
 
     @rule(hall=st.sampled_from(["h1", "h2"]), evacuated=st.booleans())
     def order_hall(self, hall, evacuated):
@@ -108,7 +108,7 @@
 
     @rule()
     def forget_orders(self):
-        self.world.store.forget(HALLS)
+        self.world.store.forget(HALLS_TOPIC)
 
     @rule(down=st.booleans())
     def store(self, down):
--- a/features/random_shard.py
+++ b/features/random_shard.py
@@ -7,7 +7,7 @@
 import sys
 
 from granitetrestle.workflows import Step
-from granitetrestle_standins.shardworld import HALLS
+from granitetrestle_standins.shardworld import HALLS_TOPIC
 from granitetrestle_standins.shardworld import PromiseBroken
 from granitetrestle_standins.shardworld import ShardWorld
 from native_machines import STEPS
@@ -75,20 +75,20 @@
             world.take_over()
         elif kind == "thaw":
             for process in world.processes:
-                process.wake()
+                process.resume()
         elif kind == "crash":
             world.crash_box(draw.randrange(100))
         elif kind == "cut":
             world.cut_box(draw.randrange(100), draw.choice((0.5, 2.0, 4.0, 8.0)))
         elif kind == "disturb":
-            world.late_share = draw.choice(SHARES) / 2
-            world.lost_share = draw.choice(SHARES) / 2
-            world.fail_share = draw.choice(SHARES) / 2
+            world.delayed_share = draw.choice(SHARES) / 2
+            world.lost_answer_share = draw.choice(SHARES) / 2
+            world.task_failure_share = draw.choice(SHARES) / 2
         elif kind == "hall":
             order = world.evacuate if draw.random() < 0.5 else world.restore
             order(draw.choice(["h1", "h2"]))
         elif kind == "forget":
-            world.store.forget(HALLS)
+            world.store.forget(HALLS_TOPIC)
         elif kind == "store":
             world.store_down = draw.random() < 0.5
         elif kind == "bad":
@@ -99,11 +99,11 @@
                 world.take_over()
         elif kind == "wake":
             for process in world.processes:
-                process.wake()
+                process.resume()
         elif kind == "part":
             self._part()
         elif kind == "join":
-            world.join()
+            world.reconnect_all()
         elif kind == "room":
             world.resize_box(draw.randrange(100), draw.choice((0, 1000, 2500, 4000)))
 
@@ -127,7 +127,7 @@
         step = self._draw.randrange(len(steps))
         index = self._draw.randrange(steps[step].count)
         self.world.box_crashes.crashing.add(f"{job}.0.{step}.{index}")
-        self.world.box_crashes.unanswered = self._draw.random() < 0.5
+        self.world.box_crashes.crash_before_answer = self._draw.random() < 0.5
 
 
 def crashes_among_others(seed, culprits=6):
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -23,7 +23,7 @@
     return [
         note
         for process in context.world.processes
-        for note in process.notes
+        for note in process.log_events
         if note.event == event
     ]
 
@@ -88,7 +88,7 @@
 @when("a task that crashes its box is submitted, and {fault} for {seconds:g} seconds")
 def crashing_task(context, fault, seconds):
     world = context.world
-    world.box_crashes.unanswered = fault == "its starts are never answered"
+    world.box_crashes.crash_before_answer = fault == "its starts are never answered"
     context.culprit = world.submit((Step(count=1, cpu=500, memory_mb=10),))
     context.task = f"{context.culprit}.0.0.0"
     world.box_crashes.crashing.add(context.task)
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -147,11 +147,11 @@
 @when("it is restored while the leader reads nothing and the history is dropped")
 def history_dropped(context):
     world = context.world
-    world.leader.deaf = True
+    world.leader.without_directives = True
     world.restore("h1")
     world.store.forget("keyed.halls")
     world.advance(0.2)
-    world.leader.deaf = False
+    world.leader.without_directives = False
     world.advance(0.1)
 
 
@@ -166,7 +166,7 @@
 @when("the leader reads no directives for {seconds:f} seconds more")
 def read_no_directives(context, seconds):
     world = context.world
-    world.leader.deaf = True
+    world.leader.without_directives = True
     # The step that follows takes a part of the time.
     world.advance(max(0.05, seconds - 1.3))
 
@@ -184,19 +184,19 @@
     assert hall_of_runs(context, context.waiting) == set()
     # It was reported once, when it began.
     assert held(world.now) == []
-    assert "starts_held" in {note.event for note in world.leader.notes}
+    assert "starts_held" in {note.event for note in world.leader.log_events}
 
 
 @when("the leader reads directives again")
 def read_directives_again(context):
-    context.world.leader.deaf = False
+    context.world.leader.without_directives = False
     context.world.advance(0.3)
 
 
 @then("the waiting tasks start")
 def waiting_tasks_start(context):
     assert hall_of_runs(context, context.waiting)
-    assert "starts_go_on" in {note.event for note in context.world.leader.notes}
+    assert "starts_go_on" in {note.event for note in context.world.leader.log_events}
 
 
 @given("a command window that lets nothing pass")
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -14,7 +14,7 @@
 def dark_before_take_over(context, listed):
     world = context.world
     task = lasting_task(context)
-    world.cut[task.box] = world.now + 1000.0
+    world.cut_until[task.box] = world.now + 1000.0
     context.dark, context.since = task.box, world.now
     world.advance(2.0)
     context.entry = world.entries[task.box]
@@ -31,7 +31,7 @@
 def lost_together(context):
     world = context.world
     task = lasting_task(context)
-    world.cut[task.box] = world.now + 1000.0
+    world.cut_until[task.box] = world.now + 1000.0
     context.dark, context.since = task.box, world.now
     del world.entries[task.box]
     world.kill()
@@ -56,7 +56,7 @@
 def box_returns_without_store(context):
     world = context.world
     context.task = lasting_task(context)
-    world.cut[context.task.box] = world.now + 2.0
+    world.cut_until[context.task.box] = world.now + 2.0
     world.advance(1.8)
     context.former_leader = world.leader
     context.former_leader.without_store = True
@@ -96,7 +96,7 @@
 def back_after_all(context):
     assert lease_records(context) == [f"l/{context.dark}"]
     context.world.entries[context.dark] = context.entry
-    del context.world.cut[context.dark]
+    del context.world.cut_until[context.dark]
 
 
 @then("{seconds:g} seconds later nothing is written of its leases")
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -19,7 +19,7 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from granitetrestle_bench.deciding import Load
-from granitetrestle_standins.shardprocess import JOBS
+from granitetrestle_standins.shardprocess import JOBS_TOPIC
 
 
 def written_bytes(count):
@@ -76,7 +76,7 @@
 
 
 def records_of(context, job):
-    newest = context.world.store.newest(JOBS).records
+    newest = context.world.store.newest(JOBS_TOPIC).records
     return [record for record in newest if job in record.key]
 
 
@@ -96,7 +96,7 @@
     workflows = world.leader.scheduler.state.workflows
     assert workflows[context.job].state == state
     submission = Submission(context.job, "q", "pool", "s", WIDE)
-    world.ask(SubmitJob(submission), context.job)
+    world.send_call(SubmitJob(submission), context.job)
     world.advance(1.0)
     assert workflows[context.job].state == state
 
@@ -109,7 +109,7 @@
     world.kill()
     context.job = "0" * 15 + "a"
     submission = Submission(context.job, "q", "pool", f"spec-{context.job}", WIDE)
-    world._asked[context.job] = SubmitJob(submission)
+    world._calls[context.job] = SubmitJob(submission)
     world.accepted[context.job] = submission
     rows = []
     for index in range(40):
@@ -125,8 +125,8 @@
         Record(f"p/{context.job}", encode(["", rows])),
     ]
     epoch = world.leader.epoch + 1
-    world.store.append(JOBS, (), Writer(epoch, 1))
-    world.store.append(JOBS, records, Writer(epoch, 2))
+    world.store.append(JOBS_TOPIC, (), Writer(epoch, 1))
+    world.store.append(JOBS_TOPIC, records, Writer(epoch, 2))
     world.leader.epoch = epoch
 
 
@@ -161,16 +161,16 @@
     world.advance(0.1)
     world.kill()
     epoch = world.leader.epoch + 1
-    world.store.append(JOBS, (), Writer(epoch, 1))
+    world.store.append(JOBS_TOPIC, (), Writer(epoch, 1))
     context.key = f"t/{context.job}/0.0.0"
     record = Record(context.key, b"\xc1not a record")
-    world.store.append(JOBS, [record], Writer(epoch, 2))
+    world.store.append(JOBS_TOPIC, [record], Writer(epoch, 2))
     world.leader.epoch = epoch
     context.ran_before = starts(context)
     context.noted = []
     # The events that a session logs at a take-over.
     restored = Scheduler(SchedulerParameters(), world.now).restore(
-        world.store.newest(JOBS).records, world.now
+        world.store.newest(JOBS_TOPIC).records, world.now
     )
     context.noted = [note for note in restored if isinstance(note, LogEvent)]
     world.take_over()
@@ -211,10 +211,10 @@
     world.advance(0.3)
     leader = world.leader
     leader.apply(leader.scheduler.handle_call("c", CancelJob(context.job), world.now))
-    world._asked["c"] = CancelJob(context.job)
+    world._calls["c"] = CancelJob(context.job)
     records = leader.scheduler.take_writes()
     writer = Writer(leader.epoch, leader.sequence + 1)
-    world.store.append(JOBS, records, writer)
+    world.store.append(JOBS_TOPIC, records, writer)
     world.kill()
     world.take_over()
 
@@ -254,10 +254,10 @@
         )
     )
     records = leader.scheduler.take_writes()
-    world.store.append(JOBS, records, Writer(leader.epoch, leader.sequence + 1))
+    world.store.append(JOBS_TOPIC, records, Writer(leader.epoch, leader.sequence + 1))
     world.kill()
     restored = context.successor = Scheduler(SchedulerParameters(), world.now)
-    restored.restore(world.store.newest(JOBS).records, world.now)
+    restored.restore(world.store.newest(JOBS_TOPIC).records, world.now)
 
 
 @then("its successor restores all 20 as done, and enqueues only the next step")
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -60,7 +60,7 @@
     world.advance(0.1)
     tasks = world.leader.scheduler.state.workflows[context.job].tasks.values()
     for incarnation in {task.box for task in tasks}:
-        world.cut[incarnation] = world.now + 5.0
+        world.cut_until[incarnation] = world.now + 5.0
     world.advance(4.9)
 
 
@@ -86,7 +86,7 @@
 
 @when("the box is back, and then the store")
 def store_and_box_back(context):
-    context.world.cut.clear()
+    context.world.cut_until.clear()
     context.world.advance(0.3)
     context.world.store_down = False
     context.world.advance(2.0)
@@ -130,14 +130,14 @@
 
 @then("the old leader has stepped down, and each task ran once")
 def stepped_down(context):
-    assert context.old.over
+    assert context.old.stopped
     mine = [how for task, _, how in runs(context) if task.startswith(context.job)]
     assert mine == ["done", "done"], runs(context)
 
 
 @when("a job is submitted and all its runs fail")
 def all_fail(context):
-    context.world.fail_share = 1.1
+    context.world.task_failure_share = 1.1
     context.job = context.world.submit((Step(count=1, cpu=100, memory_mb=10),))
     context.world.advance(8.0)
 
@@ -234,13 +234,13 @@
 @when("the start of a task gets no answer and is carried out seconds later")
 def start_late(context):
     world = context.world
-    world.late_share = 1.0
+    world.delayed_share = 1.0
     context.job = world.submit((Step(count=3, cpu=100, memory_mb=10),))
     # The first box by name is chosen and then cut off. If the start were given up, the
     # task would be started on the other box.
-    world.cut["b1"] = world.now + 0.5
+    world.cut_until["b1"] = world.now + 0.5
     world.advance(0.05)
-    world.late_share = 0.0
+    world.delayed_share = 0.0
     tasks = world.leader.scheduler.state.workflows[context.job].tasks.values()
     assert {task.box for task in tasks} <= {"b1", ""}
     world.advance(12.0)
@@ -254,7 +254,7 @@
     world.advance(2.5)
     tasks = world.leader.scheduler.state.workflows[context.job].tasks.values()
     for incarnation in {task.box for task in tasks if task.box}:
-        world.cut[incarnation] = world.now + 2.0
+        world.cut_until[incarnation] = world.now + 2.0
     world.advance(4.0)
 
 
@@ -269,7 +269,7 @@
 )
 def failed_unconfirmed(context):
     world = context.world
-    world.fail_share = 1.1
+    world.task_failure_share = 1.1
     context.job = world.submit((Step(count=1, cpu=100, memory_mb=10),))
     context.task = f"{context.job}.0.0.0"
     for _ in range(40):
@@ -280,7 +280,7 @@
     world.advance(0.05)
     (box,) = world.boxes.values()
     assert [row.how for row in box.unconfirmed()] == ["failed"], box.unconfirmed()
-    world.fail_share = 0.0
+    world.task_failure_share = 0.0
     world.kill()
     world.take_over()
     world.advance(0.3)
@@ -397,7 +397,7 @@
 
 def lose_box(context, task):
     world = context.world
-    world.cut[task.box] = world.now + 1000.0
+    world.cut_until[task.box] = world.now + 1000.0
     context.dark, context.since = task.box, world.now
     world.advance(0.5)
     del world.entries[task.box]
--- a/src/granitetrestle_standins/boxcrashes.py
+++ b/src/granitetrestle_standins/boxcrashes.py
@@ -6,14 +6,14 @@
 
 __all__ = ["BoxCrashes"]
 
-CRASH_AFTER_S = 0.04
-STAYS_LISTED_S = 1.5
-BACK_AFTER_S = 1.0
+CRASH_DELAY_S = 0.04
+UNLIST_DELAY_S = 1.5
+RESTART_DELAY_S = 1.0
 # After so many boxes crashed under a task it may be started so many times more; after
 # so many its job may be given up.
-CRASHES = 3
-MORE_STARTS = 2
-CRASHES_TO_GIVE_UP = 2
+CRASH_THRESHOLD = 3
+MAX_STARTS_AFTER_THRESHOLD = 2
+GIVE_UP_CRASH_THRESHOLD = 2
 
 
 class BoxCrashes:
@@ -26,10 +26,10 @@
 
     def __init__(self) -> None:
         self.crashing: set[str] = set()
-        self.unanswered = False
+        self.crash_before_answer = False
         self.counts: dict[str, int] = {}
-        self._started_after: dict[str, int] = {}
-        self._back_at: dict[str, float] = {}
+        self._starts_after_threshold: dict[str, int] = {}
+        self._restart_at: dict[str, float] = {}
         self._unlisted_at: dict[str, float] = {}
 
     def crash(self, box: BoxModel, now: float) -> None:
@@ -38,51 +38,55 @@
             self.counts[task] = self.counts.get(task, 0) + 1
         box.crash(now)
 
-    def crash_for_now(self, box: BoxModel, now: float) -> None:
+    def crash_and_restart(self, box: BoxModel, now: float) -> None:
         """Crash a box that comes back."""
         self.crash(box, now)
-        self._back_at[box.incarnation] = now + BACK_AFTER_S
-        self._unlisted_at[box.incarnation] = now + STAYS_LISTED_S
+        self._restart_at[box.incarnation] = now + RESTART_DELAY_S
+        self._unlisted_at[box.incarnation] = now + UNLIST_DELAY_S
 
-    def due(self, box: BoxModel, now: float) -> bool:
+    def crash_due(self, box: BoxModel, now: float) -> bool:
         """Say whether what runs on a box crashes it now."""
         return any(
-            run.task in self.crashing and now - run.began >= CRASH_AFTER_S
+            run.task in self.crashing and now - run.began >= CRASH_DELAY_S
             for run in box.running.values()
         )
 
-    def crashes_at_once(self, box: BoxModel) -> bool:
+    def crashes_before_answer(self, box: BoxModel) -> bool:
         """Say whether a box crashes before it answers the start of a task."""
-        return self.unanswered and bool(self.crashing.intersection(box.running))
+        return self.crash_before_answer and bool(
+            self.crashing.intersection(box.running)
+        )
 
     def is_down(self, incarnation: str, now: float) -> bool:
         """Say whether nobody answers yet in the place of a life that has crashed."""
-        return self._back_at.get(incarnation, 0.0) > now
+        return self._restart_at.get(incarnation, 0.0) > now
 
-    def take_back(self, now: float) -> list[str]:
+    def pop_restarted(self, now: float) -> list[str]:
         """Return the lives in whose place another one answers from now on."""
-        return _take_due(self._back_at, now)
+        return _pop_due(self._restart_at, now)
 
-    def take_unlisted(self, now: float) -> list[str]:
+    def pop_unlisted(self, now: float) -> list[str]:
         """Return the lives whose entries go now."""
-        return _take_due(self._unlisted_at, now)
+        return _pop_due(self._unlisted_at, now)
 
-    def started_too_often(self, task: str) -> bool:
+    def exceeds_start_limit(self, task: str) -> bool:
         """Take up a start; says whether its task must not be started any more."""
-        if task not in self.crashing or self.counts.get(task, 0) < CRASHES:
+        if task not in self.crashing or self.counts.get(task, 0) < CRASH_THRESHOLD:
             return False
-        self._started_after[task] = self._started_after.get(task, 0) + 1
-        return self._started_after[task] > MORE_STARTS
+        self._starts_after_threshold[task] = (
+            self._starts_after_threshold.get(task, 0) + 1
+        )
+        return self._starts_after_threshold[task] > MAX_STARTS_AFTER_THRESHOLD
 
     def may_be_given_up(self, job: str) -> bool:
         """Say whether enough boxes crashed under a task of a job."""
         return any(
-            task.startswith(f"{job}.") and count >= CRASHES_TO_GIVE_UP
+            task.startswith(f"{job}.") and count >= GIVE_UP_CRASH_THRESHOLD
             for task, count in self.counts.items()
         )
 
 
-def _take_due(times: dict[str, float], now: float) -> list[str]:
+def _pop_due(times: dict[str, float], now: float) -> list[str]:
     due = [incarnation for incarnation, at in times.items() if at <= now]
     for incarnation in due:
         del times[incarnation]
--- a/src/granitetrestle_standins/modellives.py
+++ b/src/granitetrestle_standins/modellives.py
@@ -6,15 +6,15 @@
 from granitetrestle.incarnations import incarnation_name
 from granitetrestle.interfaces import BoxEntry
 
-__all__ = ["ModelLives"]
+__all__ = ["IncarnationFactory"]
 
 # Shares of the boxes that start again under the id they had, and of these at another
 # address.
-KEEPS_ID: t.Final = 0.6
-MOVES: t.Final = 0.2
+KEEP_ID_PROBABILITY: t.Final = 0.6
+MOVE_PROBABILITY: t.Final = 0.2
 
 
-class ModelLives:
+class IncarnationFactory:
     """Makes entries of lives.
 
     :param keep_ids: whether a box that starts again may keep its id. Without it each life
@@ -28,7 +28,7 @@
         self._draw = random.Random(f"lives {seed}")
         self.count = 0
 
-    def first(self, hall: str) -> BoxEntry:
+    def create(self, hall: str) -> BoxEntry:
         """Return the first life of a new box."""
         self.count += 1
         box_id = f"b{self.count}"
@@ -47,16 +47,18 @@
             box_id=box_id,
         )
 
-    def again(self, before: BoxEntry) -> BoxEntry:
+    def restart(self, previous: BoxEntry) -> BoxEntry:
         """Return the life that begins where another has ended."""
         self.count += 1
-        box_id, address = f"b{self.count}", before.address
-        if self._keep_ids and self._draw.random() < KEEPS_ID:
-            box_id = before.box_id
-            if self._draw.random() < MOVES:
+        box_id, address = f"b{self.count}", previous.address
+        if self._keep_ids and self._draw.random() < KEEP_ID_PROBABILITY:
+            box_id = previous.box_id
+            if self._draw.random() < MOVE_PROBABILITY:
                 address = f"a{self.count}"
         incarnation = self._name(box_id)
-        return before._replace(incarnation=incarnation, box_id=box_id, address=address)
+        return previous._replace(
+            incarnation=incarnation, box_id=box_id, address=address
+        )
 
     def _name(self, box_id: str) -> str:
         return incarnation_name(box_id, self.count if self._keep_ids else None)
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -26,13 +26,20 @@
 from granitetrestle.statedigest import EpochClaim
 from granitetrestle_standins.nativestore import StoreModel
 
-__all__ = ["HALLS", "JOBS", "STEP_S", "DeciderProcess", "Order", "World"]
-
-JOBS = "keyed.jobs"
+__all__ = [
+    "HALLS_TOPIC",
+    "JOBS_TOPIC",
+    "TICK_INTERVAL_S",
+    "SchedulerProcess",
+    "Command",
+    "World",
+]
+
+JOBS_TOPIC = "keyed.jobs"
 # What operators ask of data halls, by hall.
-HALLS = "keyed.halls"
-STEP_S = 0.05
-Order: t.TypeAlias = StartTask | StopTask | PaceTask
+HALLS_TOPIC = "keyed.halls"
+TICK_INTERVAL_S = 0.05
+Command: t.TypeAlias = StartTask | StopTask | PaceTask
 
 
 class World(t.Protocol):
@@ -48,23 +55,23 @@
     def store_down(self) -> bool:
         """Whether every call to the store is refused."""
 
-    def send(self, sender: "DeciderProcess", order: Order) -> None:
+    def send(self, sender: "DeciderProcess", command: Command) -> None:
         """Carry an order to its box, or lose it, or let it come late."""
 
-    def answered(self, decision: AnswerCall) -> None:
+    def record_answer(self, decision: AnswerCall) -> None:
         """Note what a caller was told."""
 
     def poll(
         self,
         sender: "DeciderProcess",
         incarnation: str,
-        known: int,
+        acknowledged_end: int,
         lease_ends_ms: int | None,
     ) -> PollOutcome:
         """Look at a box."""
 
 
-class DeciderProcess:
+class SchedulerProcess:
     """One decider with its journal and its looks at boxes."""
 
     def __init__(self, world: World, epoch: int) -> None:
@@ -72,8 +79,8 @@
         self.epoch = epoch
         self.frozen = False
         # Whether it hears nothing of what operators ask.
-        self.deaf = False
-        self.over = False
+        self.without_directives = False
+        self.stopped = False
         # Whether it alone does not reach the store, and the boxes it does not reach.
         self.without_store = False
         self.cut_from: set[str] = set()
@@ -83,17 +90,17 @@
         self.confirmed_at = world.now
         self.sequence = 1
         self.scheduler = Scheduler(world.parameters, world.now)
-        self.held: list[Decision] = []
-        self.notes: list[LogEvent] = []
-        self.looked_at: dict[str, float] = {}
+        self.gated: list[Decision] = []
+        self.log_events: list[LogEvent] = []
+        self.polled_at: dict[str, float] = {}
         self.apply(self.scheduler.apply_config(world.config))
-        taken = EpochClaim.record(epoch, f"life-{epoch}")
-        world.store.append(JOBS, (taken,), Writer(epoch, 1))
-        left = world.store.newest(JOBS).records
-        self.marks = DigestTracker(left)
-        self.scheduler.restore(left, world.now)
-        self.halls_from = -1
-        self.read_orders()
+        claim = EpochClaim.record(epoch, f"life-{epoch}")
+        world.store.append(JOBS_TOPIC, (claim,), Writer(epoch, 1))
+        newest_records = world.store.newest(JOBS_TOPIC).records
+        self.digests = DigestTracker(newest_records)
+        self.scheduler.restore(newest_records, world.now)
+        self.directives_offset = -1
+        self.read_directives()
         self.list_boxes()
 
     @property
@@ -107,27 +114,29 @@
             self.frozen = True
             self._suspended_at = self.world.now
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let it go on, after a suspension or a freeze."""
         self.frozen = False
         if self._suspended_at is not None:
             self._suspended_s += self.world.now - self._suspended_at
             self._suspended_at = None
 
-    def read_orders(self) -> None:
+    def read_directives(self) -> None:
         """Take up what operators asked since the last time, or all there is."""
         store, evacuation = self.world.store, self.scheduler.evacuation
-        if self.world.store_down or self.without_store or self.deaf:
+        if self.world.store_down or self.without_store or self.without_directives:
             return
-        news = store.read(HALLS, max(0, self.halls_from))
-        if self.halls_from >= 0 and isinstance(news, Records):
-            orders = [HallDirective(r.key, r.value is not None) for r in news.records]
-            self.apply(evacuation.apply_directives(orders, self.now))
+        new_records = store.read(HALLS_TOPIC, max(0, self.directives_offset))
+        if self.directives_offset >= 0 and isinstance(new_records, Records):
+            directives = [
+                HallDirective(r.key, r.value is not None) for r in new_records.records
+            ]
+            self.apply(evacuation.apply_directives(directives, self.now))
         else:
-            newest = store.newest(HALLS)
-            orders = [HallDirective(record.key, True) for record in newest.records]
-            self.apply(evacuation.replace_directives(orders, (), self.now))
-        self.halls_from = store.end(HALLS)
+            newest = store.newest(HALLS_TOPIC)
+            directives = [HallDirective(record.key, True) for record in newest.records]
+            self.apply(evacuation.replace_directives(directives, (), self.now))
+        self.directives_offset = store.end(HALLS_TOPIC)
         evacuation.record_read(self.now)
 
     def list_boxes(self) -> None:
@@ -139,45 +148,45 @@
         """Hold back or carry out decisions."""
         for decision in decisions:
             if isinstance(decision, GATED):
-                self.held.append(decision)
+                self.gated.append(decision)
             elif isinstance(decision, StepDown):
-                self.over = True
+                self.stopped = True
             elif isinstance(decision, PaceTask):
                 self.world.send(self, decision)
             elif isinstance(decision, LogEvent):
-                self.notes.append(decision)
+                self.log_events.append(decision)
 
     def tick(self) -> None:
         """Decide, write, release, look."""
-        if self.over or self.frozen:
+        if self.stopped or self.frozen:
             return
-        self.read_orders()
+        self.read_directives()
         self.apply(self.scheduler.decide(self.now, int(self.now * 1000)))
         self._write()
         for incarnation in list(self.scheduler.state.boxes):
-            if not self.over:
+            if not self.stopped:
                 self._poll(incarnation)
 
     def _write(self) -> None:
         if self.world.store_down or self.without_store:
             return
-        records = self.marks.with_digest(self.scheduler.take_writes())
+        records = self.digests.with_digest(self.scheduler.take_writes())
         writer = Writer(self.epoch, self.sequence + 1)
-        outcome = self.world.store.append(JOBS, records, writer)
+        outcome = self.world.store.append(JOBS_TOPIC, records, writer)
         if not isinstance(outcome, Appended):
-            self.over = True
+            self.stopped = True
             return
         self.sequence += 1
         self.confirmed_at = self.now
-        held, self.held = self.held, []
-        for decision in held:
+        gated, self.gated = self.gated, []
+        for decision in gated:
             self._release(decision)
 
     def _release(self, decision: Decision) -> None:
         if isinstance(decision, StartTask | StopTask):
             self.world.send(self, decision)
         elif isinstance(decision, AnswerCall):
-            self.world.answered(decision)
+            self.world.record_answer(decision)
         elif isinstance(decision, ResumeLeases):
             self.scheduler.fleet.resume_leases(decision)
         elif isinstance(decision, AcknowledgeEnds):
@@ -187,9 +196,9 @@
 
     def _poll(self, incarnation: str) -> None:
         now = self.now
-        if now - self.looked_at.get(incarnation, -1.0) < 2 * STEP_S:
+        if now - self.polled_at.get(incarnation, -1.0) < 2 * TICK_INTERVAL_S:
             return
-        self.looked_at[incarnation] = now
+        self.polled_at[incarnation] = now
         renew = now - self.confirmed_at < self.world.parameters.orphan_s
         plan = self.scheduler.fleet.plan_poll(incarnation, now, renew)
         if plan is None:
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -28,27 +28,27 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from granitetrestle_standins.boxcrashes import BoxCrashes
-from granitetrestle_standins.modellives import ModelLives
+from granitetrestle_standins.modellives import IncarnationFactory
 from granitetrestle_standins.nativebox import BoxModel
 from granitetrestle_standins.nativebox import BoxRun
 from granitetrestle_standins.nativestore import StoreModel
-from granitetrestle_standins.shardprocess import HALLS
-from granitetrestle_standins.shardprocess import STEP_S
-from granitetrestle_standins.shardprocess import DeciderProcess
-from granitetrestle_standins.shardprocess import Order
+from granitetrestle_standins.shardprocess import HALLS_TOPIC
+from granitetrestle_standins.shardprocess import TICK_INTERVAL_S
+from granitetrestle_standins.shardprocess import Command
+from granitetrestle_standins.shardprocess import SchedulerProcess
 from granitetrestle_standins.storereadings import PLAIN
 from granitetrestle_standins.storereadings import StoreReading
 
-__all__ = ["HALLS", "PromiseBroken", "ShardWorld"]
+__all__ = ["HALLS_TOPIC", "PromiseBroken", "ShardWorld"]
 
 # How long after an order was given, with the store up, a decider may still start tasks.
-IN_FORCE_S = 0.1
+EVACUATION_GRACE_S = 0.1
 # How long tasks run, by their index; the longest outlasts a lease.
-TASK_S = (0.6, 0.3, 5.0)
+TASK_DURATIONS_S = (0.6, 0.3, 5.0)
 MAX_ATTEMPTS = 3
 # How long after a box's room shrank a start may still count on the room before: orders
 # are under way, and the list of boxes is read a few times a second.
-ROOM_SEEN_S = 0.2
+CAPACITY_GRACE_S = 0.2
 QUEUE = Queue("q", "host", "/q/", "pool", 0, MAX_ATTEMPTS, 1.5, 1000.0)
 CONFIG = Config(1, (QUEUE,), {"pool": True}, 262144)
 
@@ -57,13 +57,13 @@
     """What ran is not what may run."""
 
 
-class _Late(t.NamedTuple):
+class _DelayedCommand(t.NamedTuple):
     """An order that will be carried out later, unasked and unanswered."""
 
     at: float
     token: int
     lease_ends_ms: int
-    order: Order
+    command: Command
 
 
 class ShardWorld:
@@ -82,7 +82,7 @@
         keep_ids: bool = False,
     ) -> None:
         self.random = random.Random(seed)
-        self._incarnations = ModelLives(seed, keep_ids)
+        self._incarnations = IncarnationFactory(seed, keep_ids)
         self.now = 100.0
         self.parameters = SchedulerParameters(lease_s=3.0, orphan_s=2.0, keep_s=600.0)
         self.store = StoreModel(reading)
@@ -94,23 +94,23 @@
         self.evacuated: dict[str, float] = {}
         self.boxes: dict[str, BoxModel] = {}
         self.entries: dict[str, BoxEntry] = {}
-        self.cut: dict[str, float] = {}
-        self.late_share = 0.0
-        self.lost_share = 0.0
-        self.fail_share = 0.0
+        self.cut_until: dict[str, float] = {}
+        self.delayed_share = 0.0
+        self.lost_answer_share = 0.0
+        self.task_failure_share = 0.0
         self.box_crashes = BoxCrashes()
         # Box -> its room before, in thousandths of a core, and until when that may count.
-        self._room_before: dict[str, tuple[int, float]] = {}
+        self._earlier_capacity: dict[str, tuple[int, float]] = {}
         self.accepted: dict[str, Submission] = {}
         self.cancelled: dict[str, float] = {}
-        self._asked: dict[str, JobCall] = {}
-        self._late: list[_Late] = []
+        self._calls: dict[str, JobCall] = {}
+        self._delayed: list[_DelayedCommand] = []
         self._done: dict[str, float] = {}
         self._failed: dict[str, int] = {}
-        self._judged: set[int] = set()
+        self._checked: set[int] = set()
         for _ in range(boxes):
             self.add_box()
-        self.processes: list[DeciderProcess] = []
+        self.processes: list[SchedulerProcess] = []
         self.take_over()
 
     @property
@@ -125,20 +125,20 @@
 
     def evacuate(self, hall: str) -> None:
         """Let an operator evacuate a hall."""
-        self.store.append(HALLS, [Record(hall, b"{}")], None)
+        self.store.append(HALLS_TOPIC, [Record(hall, b"{}")], None)
         self.evacuated.setdefault(hall, self.now)
 
     def restore(self, hall: str) -> None:
         """Let an operator take a hall back."""
-        self.store.append(HALLS, [Record(hall, None)], None)
+        self.store.append(HALLS_TOPIC, [Record(hall, None)], None)
         self.evacuated.pop(hall, None)
 
     def add_box(self, hall: str = "") -> str:
         """Add an empty box; without a hall, the halls take turns."""
         hall = hall or self.halls[(self._incarnations.count + 1) % len(self.halls)]
-        return self._enter(self._incarnations.first(hall))
+        return self._add_incarnation(self._incarnations.create(hall))
 
-    def _enter(self, entry: BoxEntry) -> str:
+    def _add_incarnation(self, entry: BoxEntry) -> str:
         """Let a life begin that is listed."""
         self.boxes[entry.incarnation] = BoxModel(
             entry.incarnation, self.parameters.lease_s
@@ -147,7 +147,7 @@
         return entry.incarnation
 
     @property
-    def leader(self) -> DeciderProcess:
+    def leader(self) -> SchedulerProcess:
         """The decider of the newest epoch."""
         return self.processes[-1]
 
@@ -155,9 +155,9 @@
         """Let a new decider take over; the old one may not know."""
         epoch = self.processes[-1].epoch + 1 if self.processes else 1
         if not self.store_down:
-            self.processes.append(DeciderProcess(self, epoch))
+            self.processes.append(SchedulerProcess(self, epoch))
 
-    def join(self) -> None:
+    def reconnect_all(self) -> None:
         """Let every decider reach the store and all boxes."""
         for process in self.processes:
             process.without_store = False
@@ -165,32 +165,32 @@
 
     def kill(self) -> None:
         """Kill the decider, whatever it holds back."""
-        self.leader.over = True
+        self.leader.stopped = True
 
     def crash_box(self, choice: int) -> None:
         """End a box's life; another one begins at its address a little later."""
         incarnation = self._pick(choice)
         if incarnation is not None:
             self.box_crashes.crash(self.boxes[incarnation], self.now)
-            self._begin_again(self.entries.pop(incarnation))
+            self._restart_box(self.entries.pop(incarnation))
 
-    def _begin_again(self, before: BoxEntry) -> None:
+    def _restart_box(self, previous: BoxEntry) -> None:
         """Let another life begin where one has ended."""
-        entry = self._incarnations.again(before)
-        if entry.box_id == before.box_id:
+        entry = self._incarnations.restart(previous)
+        if entry.box_id == previous.box_id:
             # The list has one entry for an id.
-            self.entries.pop(before.incarnation, None)
-        self._enter(entry)
+            self.entries.pop(previous.incarnation, None)
+        self._add_incarnation(entry)
 
     def _crash_boxes(self) -> None:
         """Crash the boxes whose tasks do that, and let others answer in their place."""
         crashes = self.box_crashes
         for box in list(self.boxes.values()):
-            if crashes.due(box, self.now):
-                crashes.crash_for_now(box, self.now)
-        for incarnation in crashes.take_back(self.now):
-            self._begin_again(self.entries[incarnation])
-        for incarnation in crashes.take_unlisted(self.now):
+            if crashes.crash_due(box, self.now):
+                crashes.crash_and_restart(box, self.now)
+        for incarnation in crashes.pop_restarted(self.now):
+            self._restart_box(self.entries[incarnation])
+        for incarnation in crashes.pop_unlisted(self.now):
             self.entries.pop(incarnation, None)
 
     def resize_box(self, choice: int, cpu: int) -> None:
@@ -199,15 +199,15 @@
         incarnation = self._pick(choice)
         if incarnation is not None:
             entry = self.entries[incarnation]
-            before = max(entry.cpu, self._still_counts(incarnation))
-            self._room_before[incarnation] = before, self.now + ROOM_SEEN_S
+            previous = max(entry.cpu, self._recent_capacity(incarnation))
+            self._earlier_capacity[incarnation] = previous, self.now + CAPACITY_GRACE_S
             self.entries[incarnation] = entry._replace(cpu=cpu)
 
     def cut_box(self, choice: int, seconds: float) -> None:
         """Cut a box off from every decider; it runs on."""
         incarnation = self._pick(choice)
         if incarnation is not None:
-            self.cut[incarnation] = self.now + seconds
+            self.cut_until[incarnation] = self.now + seconds
 
     def _pick(self, choice: int) -> str | None:
         alive = [
@@ -219,104 +219,106 @@
 
     def submit(self, steps: tuple[Step, ...]) -> str:
         """Hand in a job."""
-        job = f"{len(self._asked):016x}"
+        job = f"{len(self._calls):016x}"
         submission = Submission(job, "q", "pool", f"spec-{job}", steps)
-        self.ask(SubmitJob(submission), job)
+        self.send_call(SubmitJob(submission), job)
         return job
 
     def cancel(self, job: str) -> None:
         """Cancel a job."""
-        self.ask(CancelJob(job), f"cancel-{job}")
+        self.send_call(CancelJob(job), f"cancel-{job}")
 
-    def ask(self, call: JobCall, request: str) -> None:
+    def send_call(self, call: JobCall, request: str) -> None:
         """Hand a call to the decider; its answer may never come."""
-        self._asked[request] = call
-        if not self.leader.over and not self.leader.frozen:
+        self._calls[request] = call
+        if not self.leader.stopped and not self.leader.frozen:
             leader = self.leader
             leader.apply(leader.scheduler.handle_call(request, call, leader.now))
 
-    def answered(self, decision: AnswerCall) -> None:
+    def record_answer(self, decision: AnswerCall) -> None:
         """Note what a caller was told."""
-        call = self._asked[decision.request]
+        call = self._calls[decision.request]
         if isinstance(call, SubmitJob) and isinstance(decision.outcome, JobAccepted):
             self.accepted[call.submission.job] = call.submission
         elif isinstance(call, CancelJob):
             self.cancelled.setdefault(call.job, self.now)
 
-    def send(self, sender: DeciderProcess, order: Order) -> None:
+    def send(self, sender: SchedulerProcess, command: Command) -> None:
         """Carry an order to its box, or lose it, or let it come late."""
         draw = self.random.random()
-        box = sender.scheduler.state.boxes.get(order.incarnation)
+        box = sender.scheduler.state.boxes.get(command.incarnation)
         until = 0
-        if isinstance(order, StartTask) and box is not None:
-            if not sender.scheduler.confirm_start(order, sender.now):
-                self._not_sent(sender, order)
+        if isinstance(command, StartTask) and box is not None:
+            if not sender.scheduler.confirm_start(command, sender.now):
+                self._report_not_sent(sender, command)
                 return
-            self._judge_hall(order)
+            self._check_hall(command)
             until = sender.scheduler.fleet.renewed_lease_end_ms(box, sender.now) or 0
-        if draw < self.late_share:
+        if draw < self.delayed_share:
             at = self.now + self.random.uniform(0.2, 6.0)
-            self._late.append(_Late(at, sender.epoch, until, order))
+            self._delayed.append(_DelayedCommand(at, sender.epoch, until, command))
             outcome: CommandOutcome = BoxNoAnswer("late")
-        elif self._unreachable(sender, order.incarnation):
+        elif self._unreachable(sender, command.incarnation):
             outcome = BoxNoAnswer("cut")
         else:
-            outcome = self._carry_out(order, until, sender.epoch)
-            if draw > 1.0 - self.lost_share:
+            outcome = self._execute(command, until, sender.epoch)
+            if draw > 1.0 - self.lost_answer_share:
                 outcome = BoxNoAnswer("answer lost")
         scheduler = sender.scheduler
-        if isinstance(order, StartTask):
+        if isinstance(command, StartTask):
             sender.apply(
                 scheduler.handle_start_outcome(
-                    order.incarnation, order.task, order.run, outcome, sender.now
+                    command.incarnation, command.task, command.run, outcome, sender.now
                 )
             )
-        elif isinstance(order, StopTask):
+        elif isinstance(command, StopTask):
             sender.apply(
                 scheduler.handle_stop_outcome(
-                    order.incarnation, order.task, order.run, outcome, sender.now
+                    command.incarnation, command.task, command.run, outcome, sender.now
                 )
             )
 
-    def _not_sent(self, sender: DeciderProcess, order: StartTask) -> None:
+    def _report_not_sent(self, sender: SchedulerProcess, command: StartTask) -> None:
         outcome = CommandNotSent("withdrawn")
         sender.apply(
             sender.scheduler.handle_start_outcome(
-                order.incarnation, order.task, order.run, outcome, sender.now
+                command.incarnation, command.task, command.run, outcome, sender.now
             )
         )
 
-    def _judge_hall(self, order: StartTask) -> None:
-        entry = self.entries.get(order.incarnation)
+    def _check_hall(self, command: StartTask) -> None:
+        entry = self.entries.get(command.incarnation)
         since = self.evacuated.get(entry.hall) if entry is not None else None
         if since is None:
             return
-        if self.now - max(since, self._store_up_at) > IN_FORCE_S:
-            raise PromiseBroken(f"{order.task} was sent to an evacuated hall")
+        if self.now - max(since, self._store_up_at) > EVACUATION_GRACE_S:
+            raise PromiseBroken(f"{command.task} was sent to an evacuated hall")
 
-    def _carry_out(self, order: Order, until: int, token: int) -> CommandOutcome:
-        box = self.boxes[order.incarnation]
+    def _execute(self, command: Command, until: int, token: int) -> CommandOutcome:
+        box = self.boxes[command.incarnation]
         if not box.alive:
-            return self._dead(order.incarnation)
-        if isinstance(order, StartTask):
+            return self._answer_of_ended(command.incarnation)
+        if isinstance(command, StartTask):
             outcome = box.start(
-                order.task, order.run, order.spec, until, token, self.now
+                command.task, command.run, command.spec, until, token, self.now
             )
-        elif isinstance(order, StopTask):
-            outcome = box.stop(order.task, order.run, token, self.now)
+        elif isinstance(command, StopTask):
+            outcome = box.stop(command.task, command.run, token, self.now)
         else:
-            outcome = box.pace(order.task, order.run, order.percent, token, self.now)
+            outcome = box.pace(
+                command.task, command.run, command.percent, token, self.now
+            )
         self.check()
-        if self.box_crashes.crashes_at_once(box):
-            self.box_crashes.crash_for_now(box, self.now)
+        if self.box_crashes.crashes_before_answer(box):
+            self.box_crashes.crash_and_restart(box, self.now)
             return BoxNoAnswer("connection lost")
         return outcome
 
     def poll(
         self,
-        sender: DeciderProcess,
+        sender: SchedulerProcess,
         incarnation: str,
-        known: int,
+        acknowledged_end: int,
         lease_ends_ms: int | None,
     ) -> PollOutcome:
         """Look at a box."""
@@ -324,13 +326,13 @@
             return BoxNoAnswer("cut")
         box = self.boxes[incarnation]
         if not box.alive:
-            return self._dead(incarnation)
+            return self._answer_of_ended(incarnation)
         for row in box.unconfirmed():
-            if row.number <= known:
-                self._confirmed(box, row)
-        return box.poll(known, lease_ends_ms, sender.epoch, self.now)
+            if row.number <= acknowledged_end:
+                self._record_acknowledged(box, row)
+        return box.poll(acknowledged_end, lease_ends_ms, sender.epoch, self.now)
 
-    def _confirmed(self, box: BoxModel, row: EndedRun) -> None:
+    def _record_acknowledged(self, box: BoxModel, row: EndedRun) -> None:
         if row.how == "failed":
             self._failed[row.task] = self._failed.get(row.task, 0) + 1
         if row.how != "done":
@@ -340,51 +342,54 @@
         assert ended is not None
         for other in self.boxes.values():
             for run in other.history:
-                lapsed = any(ended < at <= run.began for at in box.lapses)
-                if run.task == row.task and run.began > ended and not lapsed:
+                expired = any(ended < at <= run.began for at in box.lapses)
+                if run.task == row.task and run.began > ended and not expired:
                     raise PromiseBroken(f"{run.task} began after an end that counts")
 
-    def _dead(self, incarnation: str) -> BoxReplaced | BoxNoAnswer:
+    def _answer_of_ended(self, incarnation: str) -> BoxReplaced | BoxNoAnswer:
         """Return what a call gets at the address of a life that has ended."""
         if self.box_crashes.is_down(incarnation, self.now):
             return BoxNoAnswer("connection refused", sent=False)
         return BoxReplaced()
 
-    def _unreachable(self, sender: DeciderProcess, incarnation: str) -> bool:
-        return incarnation in sender.cut_from or self.now < self.cut.get(
+    def _unreachable(self, sender: SchedulerProcess, incarnation: str) -> bool:
+        return incarnation in sender.cut_from or self.now < self.cut_until.get(
             incarnation, 0.0
         )
 
     def advance(self, seconds: float) -> None:
         """Let time pass."""
-        for _ in range(max(1, round(seconds / STEP_S))):
-            self.now += STEP_S
+        for _ in range(max(1, round(seconds / TICK_INTERVAL_S))):
+            self.now += TICK_INTERVAL_S
             self._run_boxes()
             for process in self.processes:
                 process.tick()
                 process.list_boxes()
             self.processes = [
-                p for p in self.processes if not p.over or p is self.processes[-1]
+                p for p in self.processes if not p.stopped or p is self.processes[-1]
             ]
             self.check()
 
     def _run_boxes(self) -> None:
-        due = [late for late in self._late if late.at <= self.now]
-        self._late = [late for late in self._late if late.at > self.now]
-        for late in due:
-            if self.boxes[late.order.incarnation].alive:
-                self._carry_out(late.order, late.lease_ends_ms, late.token)
+        due = [delayed for delayed in self._delayed if delayed.at <= self.now]
+        self._delayed = [delayed for delayed in self._delayed if delayed.at > self.now]
+        for delayed in due:
+            if self.boxes[delayed.command.incarnation].alive:
+                self._execute(delayed.command, delayed.lease_ends_ms, delayed.token)
         self._crash_boxes()
         for box in self.boxes.values():
             box.tick(self.now)
             for run in list(box.running.values()):
-                if self._lasts(run.task):
+                if self._is_long_running(run.task):
                     continue
-                if self.now - run.began > TASK_S[int(run.task[-1]) % len(TASK_S)]:
-                    failed = self.random.random() < self.fail_share
+                if (
+                    self.now - run.began
+                    > TASK_DURATIONS_S[int(run.task[-1]) % len(TASK_DURATIONS_S)]
+                ):
+                    failed = self.random.random() < self.task_failure_share
                     box.end(run.task, "failed" if failed else "done", self.now)
 
-    def _lasts(self, task: str) -> bool:
+    def _is_long_running(self, task: str) -> bool:
         """Say whether a task runs until its job is cancelled."""
         return self._step(task).long_running
 
@@ -393,55 +398,55 @@
 
         :raises PromiseBroken: naming the task.
         """
-        where: dict[str, str] = {}
+        box_of_task: dict[str, str] = {}
         for box in self.boxes.values():
             for run in box.running.values():
-                if run.task in where:
+                if run.task in box_of_task:
                     raise PromiseBroken(f"{run.task} runs on two boxes")
-                where[run.task] = box.incarnation
+                box_of_task[run.task] = box.incarnation
             for run in box.history:
-                if id(run) not in self._judged:
-                    self._judged.add(id(run))
-                    self._judge(run)
-                    self._judge_room(box)
+                if id(run) not in self._checked:
+                    self._checked.add(id(run))
+                    self._check_start(run)
+                    self._check_capacity(box)
 
-    def _still_counts(self, incarnation: str) -> int:
+    def _recent_capacity(self, incarnation: str) -> int:
         """Return the room that a box had until a moment ago, if it shrank."""
-        before, until = self._room_before.get(incarnation, (0, 0.0))
-        return before if self.now <= until else 0
+        previous, until = self._earlier_capacity.get(incarnation, (0, 0.0))
+        return previous if self.now <= until else 0
 
-    def _judge_room(self, box: BoxModel) -> None:
+    def _check_capacity(self, box: BoxModel) -> None:
         """Judge that a start left a box within its room; what is being stopped counts."""
         entry = self.entries.get(box.incarnation)
         if entry is None:
             return
-        room = max(entry.cpu, self._still_counts(box.incarnation))
+        capacity = max(entry.cpu, self._recent_capacity(box.incarnation))
         used = sum(self._step(run.task).cpu for run in box.running.values())
-        if used > room:
+        if used > capacity:
             raise PromiseBroken(
-                f"{box.incarnation} has room for {room}, and runs {used}"
+                f"{box.incarnation} has room for {capacity}, and runs {used}"
             )
 
     def _step(self, task: str) -> Step:
         job, _, step, _ = task.split(".")
-        call = self._asked[job]
+        call = self._calls[job]
         assert isinstance(call, SubmitJob)
         return call.submission.steps[int(step)]
 
-    def _judge(self, run: BoxRun) -> None:
+    def _check_start(self, run: BoxRun) -> None:
         job = run.task.split(".")[0]
         if run.task in self._done:
             raise PromiseBroken(f"{run.task} began again after it was done")
         if self._failed.get(run.task, 0) >= MAX_ATTEMPTS:
             raise PromiseBroken(f"{run.task} began after its last attempt failed")
-        if self.box_crashes.started_too_often(run.task):
+        if self.box_crashes.exceeds_start_limit(run.task):
             raise PromiseBroken(f"{run.task} crashes its boxes and is started again")
-        if run.spec != f"spec-{job}" or job not in self._asked:
+        if run.spec != f"spec-{job}" or job not in self._calls:
             raise PromiseBroken(f"{run.task} was not asked for")
-        self._judge_order(run, job)
+        self._check_dependencies(run, job)
 
-    def _judge_order(self, run: BoxRun, job: str) -> None:
-        call = self._asked[job]
+    def _check_dependencies(self, run: BoxRun, job: str) -> None:
+        call = self._calls[job]
         assert isinstance(call, SubmitJob)
         step = int(run.task.split(".")[2])
         ended_done = {
@@ -455,13 +460,13 @@
                 if f"{job}.0.{earlier}.{index}" not in ended_done:
                     raise PromiseBroken(f"{run.task} began before step {earlier}")
 
-    def _cancel_lasting(self) -> None:
+    def _cancel_long_running(self) -> None:
         for job, workflow in list(self.leader.scheduler.state.workflows.items()):
-            lasts = any(step.long_running for step in workflow.submission.steps)
-            if lasts and not workflow.terminal:
+            long_running = any(step.long_running for step in workflow.submission.steps)
+            if long_running and not workflow.terminal:
                 self.cancel(job)
 
-    def _may_have_failed(self, job: str) -> bool:
+    def _may_fail(self, job: str) -> bool:
         """Say whether a task of a job failed often enough, or lost enough boxes."""
         failed: collections.Counter[str] = collections.Counter(
             run.task
@@ -469,11 +474,11 @@
             for run in box.history
             if run.how == "failed"
         )
-        often = any(
+        exhausted = any(
             task.startswith(f"{job}.") and count >= MAX_ATTEMPTS
             for task, count in failed.items()
         )
-        return often or self.box_crashes.may_be_given_up(job)
+        return exhausted or self.box_crashes.may_be_given_up(job)
 
     def settle(self, seconds: float) -> None:
         """Mend everything, cancel what lasts, and check that every accepted job comes to
@@ -481,17 +486,17 @@
 
         :raises PromiseBroken: if one was lost or stands still.
         """
-        self.late_share = self.lost_share = self.fail_share = 0.0
-        self.cut.clear()
-        self.join()
+        self.delayed_share = self.lost_answer_share = self.task_failure_share = 0.0
+        self.cut_until.clear()
+        self.reconnect_all()
         for hall in list(self.evacuated):
             self.restore(hall)
         self.store_down = False
-        if self.leader.over or self.leader.frozen:
+        if self.leader.stopped or self.leader.frozen:
             self.take_over()
         state = self.leader.scheduler.state
         while seconds > 0 and not all(w.terminal for w in state.workflows.values()):
-            self._cancel_lasting()
+            self._cancel_long_running()
             self.advance(1.0)
             seconds -= 1.0
         # What is left of ended jobs stops within a look or two.
@@ -501,11 +506,13 @@
             if workflow is None:
                 raise PromiseBroken(f"{job} was accepted and is not known")
             if not workflow.terminal:
-                left = [t.name for t in workflow.tasks.values() if t.state != DONE]
-                raise PromiseBroken(f"{job} did not end: {left}")
+                unfinished = [
+                    t.name for t in workflow.tasks.values() if t.state != DONE
+                ]
+                raise PromiseBroken(f"{job} did not end: {unfinished}")
             if workflow.ended == "cancelled" and job not in self.cancelled:
                 raise PromiseBroken(f"{job} counts as cancelled")
-            if workflow.ended == "failed" and not self._may_have_failed(job):
+            if workflow.ended == "failed" and not self._may_fail(job):
                 raise PromiseBroken(f"{job} counts as failed")
         running = [run for box in self.boxes.values() for run in box.running]
         if running:
