--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -28,7 +28,7 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 from granitetrestle_standins.boxcrashes import BoxCrashes
-from granitetrestle_standins.modellives import IncarnationFactory
+from granitetrestle_standins.modelincarnations import IncarnationFactory
 from granitetrestle_standins.nativebox import BoxModel
 from granitetrestle_standins.nativebox import BoxRun
 from granitetrestle_standins.nativestore import StoreModel
