--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -44,7 +44,7 @@
 # How long after an order was given, with the store up, a decider may still start tasks.
 EVACUATION_GRACE_S = 0.1
 # How long tasks run, by their index; the longest outlasts a lease.
-TASK_DURATIONS_S = (0.6, 0.3, 5.0)
+TASK_S = (0.6, 0.3, 5.0)
 MAX_ATTEMPTS = 3
 # How long after a box's room shrank a start may still count on the room before: orders
 # are under way, and the list of boxes is read a few times a second.
@@ -57,7 +57,7 @@
     """What ran is not what may run."""
 
 
-class _DelayedCommand(t.NamedTuple):
+class DelayedCommand(t.NamedTuple):
     """An order that will be carried out later, unasked and unanswered."""
 
     at: float
@@ -104,7 +104,7 @@
         self.accepted: dict[str, Submission] = {}
         self.cancelled: dict[str, float] = {}
         self._calls: dict[str, JobCall] = {}
-        self._delayed: list[_DelayedCommand] = []
+        self._delayed: list[DelayedCommand] = []
         self._done: dict[str, float] = {}
         self._failed: dict[str, int] = {}
         self._checked: set[int] = set()
@@ -256,7 +256,7 @@
             until = sender.scheduler.fleet.renewed_lease_end_ms(box, sender.now) or 0
         if draw < self.delayed_share:
             at = self.now + self.random.uniform(0.2, 6.0)
-            self._delayed.append(_DelayedCommand(at, sender.epoch, until, command))
+            self._delayed.append(DelayedCommand(at, sender.epoch, until, command))
             outcome: CommandOutcome = BoxNoAnswer("late")
         elif self._unreachable(sender, command.incarnation):
             outcome = BoxNoAnswer("cut")
@@ -382,10 +382,7 @@
             for run in list(box.running.values()):
                 if self._is_long_running(run.task):
                     continue
-                if (
-                    self.now - run.began
-                    > TASK_DURATIONS_S[int(run.task[-1]) % len(TASK_DURATIONS_S)]
-                ):
+                if self.now - run.began > TASK_S[int(run.task[-1]) % len(TASK_S)]:
                     failed = self.random.random() < self.task_failure_share
                     box.end(run.task, "failed" if failed else "done", self.now)
 
