--- a/src/granitetrestle_standins/boxcrashes.py
+++ b/src/granitetrestle_standins/boxcrashes.py
@@ -1,6 +1,6 @@
-"""Tasks that crash the boxes that start them, as the model world has them: which these
-are, how many boxes each has crashed, and whether it is started too often. A box that they
-crash stays listed for a while, and another life answers at its address some time later."""
+"""Crashes of model boxes that are caused by tasks. It counts the crashes of each task and
+checks that a crashing task is not started too often. A crashed box stays listed for a
+while, and another incarnation answers at its address some time later."""
 
 from granitetrestle_standins.nativebox import BoxModel
 
@@ -9,19 +9,19 @@
 CRASH_DELAY_S = 0.04
 UNLIST_DELAY_S = 1.5
 RESTART_DELAY_S = 1.0
-# After so many boxes crashed under a task it may be started so many times more; after
-# so many its job may be given up.
+# Once a task has crashed CRASH_THRESHOLD boxes, only MAX_STARTS_AFTER_THRESHOLD more starts
+# may follow; after GIVE_UP_CRASH_THRESHOLD crashes its job may fail.
 CRASH_THRESHOLD = 3
 MAX_STARTS_AFTER_THRESHOLD = 2
 GIVE_UP_CRASH_THRESHOLD = 2
 
 
 class BoxCrashes:
-    """Times in seconds.
+    """Tracks crashing tasks and crashed boxes. Times are in seconds.
 
     :ivar crashing: tasks that crash each box that starts them.
-    :ivar unanswered: whether they do so before their start is answered.
-    :ivar counts: task -> how many boxes crashed while it ran there.
+    :ivar crash_before_answer: whether the crash precedes the answer to the start.
+    :ivar counts: task -> number of boxes that crashed while it ran there.
     """
 
     def __init__(self) -> None:
@@ -33,44 +33,44 @@
         self._unlisted_at: dict[str, float] = {}
 
     def crash(self, box: BoxModel, now: float) -> None:
-        """Crash a box, under all that runs there."""
+        """Crash a box and count the crash for each task that runs there."""
         for task in box.running:
             self.counts[task] = self.counts.get(task, 0) + 1
         box.crash(now)
 
     def crash_and_restart(self, box: BoxModel, now: float) -> None:
-        """Crash a box that comes back."""
+        """Crash a box and schedule its restart and the removal of its entry."""
         self.crash(box, now)
         self._restart_at[box.incarnation] = now + RESTART_DELAY_S
         self._unlisted_at[box.incarnation] = now + UNLIST_DELAY_S
 
     def crash_due(self, box: BoxModel, now: float) -> bool:
-        """Say whether what runs on a box crashes it now."""
+        """Return whether a task that runs on a box crashes it now."""
         return any(
             run.task in self.crashing and now - run.began >= CRASH_DELAY_S
             for run in box.running.values()
         )
 
     def crashes_before_answer(self, box: BoxModel) -> bool:
-        """Say whether a box crashes before it answers the start of a task."""
+        """Return whether a box crashes before it answers the start of a task."""
         return self.crash_before_answer and bool(
             self.crashing.intersection(box.running)
         )
 
     def is_down(self, incarnation: str, now: float) -> bool:
-        """Say whether nobody answers yet in the place of a life that has crashed."""
+        """Return whether a crashed incarnation has no successor yet."""
         return self._restart_at.get(incarnation, 0.0) > now
 
     def pop_restarted(self, now: float) -> list[str]:
-        """Return the lives in whose place another one answers from now on."""
+        """Remove and return the crashed incarnations whose restart is due."""
         return _pop_due(self._restart_at, now)
 
     def pop_unlisted(self, now: float) -> list[str]:
-        """Return the lives whose entries go now."""
+        """Remove and return the crashed incarnations to be unlisted now."""
         return _pop_due(self._unlisted_at, now)
 
     def exceeds_start_limit(self, task: str) -> bool:
-        """Take up a start; says whether its task must not be started any more."""
+        """Count a start, and return whether it exceeds the limit for its task."""
         if task not in self.crashing or self.counts.get(task, 0) < CRASH_THRESHOLD:
             return False
         self._starts_after_threshold[task] = (
@@ -79,7 +79,7 @@
         return self._starts_after_threshold[task] > MAX_STARTS_AFTER_THRESHOLD
 
     def may_be_given_up(self, job: str) -> bool:
-        """Say whether enough boxes crashed under a task of a job."""
+        """Return whether a task of a job crashed enough boxes for the job to fail."""
         return any(
             task.startswith(f"{job}.") and count >= GIVE_UP_CRASH_THRESHOLD
             for task, count in self.counts.items()
--- a/src/granitetrestle_standins/modelincarnations.py
+++ b/src/granitetrestle_standins/modelincarnations.py
@@ -1,4 +1,4 @@
-"""The lives of the model world's boxes: which id and which address each has."""
+"""Creates the incarnations of model boxes: the id and the address of each."""
 
 import random
 import typing as t
@@ -8,28 +8,27 @@
 
 __all__ = ["IncarnationFactory"]
 
-# Shares of the boxes that start again under the id they had, and of these at another
-# address.
+# Probability that a box restarts under the same id, and then at another address.
 KEEP_ID_PROBABILITY: t.Final = 0.6
 MOVE_PROBABILITY: t.Final = 0.2
 
 
 class IncarnationFactory:
-    """Makes entries of lives.
+    """Creates the list entries of incarnations.
 
-    :param keep_ids: whether a box that starts again may keep its id. Without it each life
-        has a new one, and no birth.
-    :ivar count: how many lives there were.
+    :param keep_ids: whether a restarted box may keep its id. Otherwise each incarnation
+        has a new id, and its name holds no start time.
+    :ivar count: number of incarnations created.
     """
 
     def __init__(self, seed: int, keep_ids: bool) -> None:
         self._keep_ids = keep_ids
-        # Apart from the world's own: what a seed drew before boxes kept ids stays the same.
+        # A generator of its own: the simulation's draws don't depend on ``keep_ids``.
         self._draw = random.Random(f"lives {seed}")
         self.count = 0
 
     def create(self, hall: str) -> BoxEntry:
-        """Return the first life of a new box."""
+        """Return the entry of the first incarnation of a new box."""
         self.count += 1
         box_id = f"b{self.count}"
         return BoxEntry(
@@ -48,7 +47,7 @@
         )
 
     def restart(self, previous: BoxEntry) -> BoxEntry:
-        """Return the life that begins where another has ended."""
+        """Return the entry of the incarnation that follows ``previous``."""
         self.count += 1
         box_id, address = f"b{self.count}", previous.address
         if self._keep_ids and self._draw.random() < KEEP_ID_PROBABILITY:
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -1,5 +1,5 @@
-"""One decider of the model world, with its journal, its looks at boxes and what it hears
-of operators."""
+"""One scheduler process of the simulation: it journals decisions, polls boxes, and reads
+operators' directives."""
 
 import typing as t
 
@@ -30,20 +30,30 @@
     "HALLS_TOPIC",
     "JOBS_TOPIC",
     "TICK_INTERVAL_S",
-    "SchedulerProcess",
     "Command",
+    "DelayedCommand",
+    "SchedulerProcess",
     "World",
 ]
 
 JOBS_TOPIC = "keyed.jobs"
-# What operators ask of data halls, by hall.
+# Operators' directives, keyed by data hall.
 HALLS_TOPIC = "keyed.halls"
 TICK_INTERVAL_S = 0.05
 Command: t.TypeAlias = StartTask | StopTask | PaceTask
 
 
+class DelayedCommand(t.NamedTuple):
+    """A command that a box executes later; the sender gets no answer."""
+
+    at: float
+    token: int
+    lease_ends_ms: int
+    command: Command
+
+
 class World(t.Protocol):
-    """What a decider sees of its world; see :class:`.shardworld.ShardWorld`."""
+    """Interface of a scheduler process to :class:`.shardworld.ShardWorld`."""
 
     now: float
     parameters: SchedulerParameters
@@ -55,36 +65,36 @@
     def store_down(self) -> bool:
         """Whether every call to the store is refused."""
 
-    def send(self, sender: "DeciderProcess", command: Command) -> None:
-        """Carry an order to its box, or lose it, or let it come late."""
+    def send(self, sender: "SchedulerProcess", command: Command) -> None:
+        """Deliver a command, delay it, or lose it or its answer."""
 
     def record_answer(self, decision: AnswerCall) -> None:
-        """Note what a caller was told."""
+        """Record the answer to a call."""
 
     def poll(
         self,
-        sender: "DeciderProcess",
+        sender: "SchedulerProcess",
         incarnation: str,
         acknowledged_end: int,
         lease_ends_ms: int | None,
     ) -> PollOutcome:
-        """Look at a box."""
+        """Poll a box."""
 
 
 class SchedulerProcess:
-    """One decider with its journal and its looks at boxes."""
+    """One scheduler process, with its journal and its polls of boxes."""
 
     def __init__(self, world: World, epoch: int) -> None:
         self.world = world
         self.epoch = epoch
         self.frozen = False
-        # Whether it hears nothing of what operators ask.
+        # Whether it reads no directives.
         self.without_directives = False
         self.stopped = False
-        # Whether it alone does not reach the store, and the boxes it does not reach.
+        # Whether it alone can't reach the store, and the boxes that it can't reach.
         self.without_store = False
         self.cut_from: set[str] = set()
-        # How long its machine was suspended, which its steady clock does not count.
+        # Time that its machine was suspended; the steady clock leaves it out.
         self._suspended_s = 0.0
         self._suspended_at: float | None = None
         self.confirmed_at = world.now
@@ -109,20 +119,20 @@
         return self.world.now - self._suspended_s
 
     def suspend(self) -> None:
-        """Let its machine stand still, and its steady clock with it."""
+        """Suspend its machine, which stops its steady clock."""
         if not self.frozen:
             self.frozen = True
             self._suspended_at = self.world.now
 
     def resume(self) -> None:
-        """Let it go on, after a suspension or a freeze."""
+        """Resume after a suspension or a freeze."""
         self.frozen = False
         if self._suspended_at is not None:
             self._suspended_s += self.world.now - self._suspended_at
             self._suspended_at = None
 
     def read_directives(self) -> None:
-        """Take up what operators asked since the last time, or all there is."""
+        """Apply the directives since the last read, or all when the history is gone."""
         store, evacuation = self.world.store, self.scheduler.evacuation
         if self.world.store_down or self.without_store or self.without_directives:
             return
@@ -140,12 +150,12 @@
         evacuation.record_read(self.now)
 
     def list_boxes(self) -> None:
-        """Take up the newest list of boxes."""
+        """Apply the newest list of boxes."""
         entries = dict(self.world.entries)
         self.apply(self.scheduler.fleet.update_boxes(entries, self.now))
 
     def apply(self, decisions: t.Sequence[Decision]) -> None:
-        """Hold back or carry out decisions."""
+        """Execute decisions; hold those that wait for their write."""
         for decision in decisions:
             if isinstance(decision, GATED):
                 self.gated.append(decision)
@@ -157,7 +167,7 @@
                 self.log_events.append(decision)
 
     def tick(self) -> None:
-        """Decide, write, release, look."""
+        """Decide, write, release held decisions and poll boxes."""
         if self.stopped or self.frozen:
             return
         self.read_directives()
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -1,6 +1,6 @@
-"""The real decider among model boxes and a store, in virtual time. Deciders are
-killed, frozen and replaced; orders and answers are lost or come late; boxes crash, are
-cut off and come back. After each step it is checked what really ran."""
+"""A simulation in virtual time of the real scheduler with a model store and model boxes.
+Leaders are killed, frozen and replaced; commands and answers are lost or delayed; boxes
+crash, are cut off and restart. The runs on all boxes are checked after each tick."""
 
 import collections
 import random
@@ -32,45 +32,33 @@
 from granitetrestle_standins.nativebox import BoxModel
 from granitetrestle_standins.nativebox import BoxRun
 from granitetrestle_standins.nativestore import StoreModel
+from granitetrestle_standins.promises import PromiseBroken
 from granitetrestle_standins.shardprocess import HALLS_TOPIC
 from granitetrestle_standins.shardprocess import TICK_INTERVAL_S
 from granitetrestle_standins.shardprocess import Command
+from granitetrestle_standins.shardprocess import DelayedCommand
 from granitetrestle_standins.shardprocess import SchedulerProcess
 from granitetrestle_standins.storereadings import PLAIN
 from granitetrestle_standins.storereadings import StoreReading
 
 __all__ = ["HALLS_TOPIC", "PromiseBroken", "ShardWorld"]
 
-# How long after an order was given, with the store up, a decider may still start tasks.
+# A leader may start tasks in an evacuated hall for this long while the store is up.
 EVACUATION_GRACE_S = 0.1
-# How long tasks run, by their index; the longest outlasts a lease.
+# Run times of tasks, chosen by task index; the longest exceeds a lease.
 TASK_S = (0.6, 0.3, 5.0)
 MAX_ATTEMPTS = 3
-# How long after a box's room shrank a start may still count on the room before: orders
-# are under way, and the list of boxes is read a few times a second.
+# A start may rely on a box's earlier capacity for this long after it shrank: commands
+# are in flight, and the list of boxes is read a few times a second.
 CAPACITY_GRACE_S = 0.2
 QUEUE = Queue("q", "host", "/q/", "pool", 0, MAX_ATTEMPTS, 1.5, 1000.0)
 CONFIG = Config(1, (QUEUE,), {"pool": True}, 262144)
 
 
-class PromiseBroken(AssertionError):
-    """What ran is not what may run."""
-
-
-class DelayedCommand(t.NamedTuple):
-    """An order that will be carried out later, unasked and unanswered."""
-
-    at: float
-    token: int
-    lease_ends_ms: int
-    command: Command
-
-
 class ShardWorld:
-    """Boxes, store and deciders; faults are calls on it.
+    """Model boxes, a model store and scheduler processes; its methods inject faults.
 
-    :param keep_ids: whether boxes that crash may start again under the id that they had.
-        Without it a seed plays as it did before they could.
+    :param keep_ids: whether crashed boxes may restart under the same id.
     """
 
     def __init__(
@@ -90,8 +78,7 @@
         self._store_down = False
         self._store_up_at = self.now
         self.halls = halls
-        # Hall -> since when it is evacuated.
-        self.evacuated: dict[str, float] = {}
+        self.evacuated: dict[str, float] = {}  # Hall -> start of its evacuation.
         self.boxes: dict[str, BoxModel] = {}
         self.entries: dict[str, BoxEntry] = {}
         self.cut_until: dict[str, float] = {}
@@ -99,7 +86,7 @@
         self.lost_answer_share = 0.0
         self.task_failure_share = 0.0
         self.box_crashes = BoxCrashes()
-        # Box -> its room before, in thousandths of a core, and until when that may count.
+        # Incarnation -> its earlier capacity (millicores), and how long that may count.
         self._earlier_capacity: dict[str, tuple[int, float]] = {}
         self.accepted: dict[str, Submission] = {}
         self.cancelled: dict[str, float] = {}
@@ -124,22 +111,22 @@
         self._store_up_at = self.now
 
     def evacuate(self, hall: str) -> None:
-        """Let an operator evacuate a hall."""
+        """Write an operator's directive to evacuate a hall."""
         self.store.append(HALLS_TOPIC, [Record(hall, b"{}")], None)
         self.evacuated.setdefault(hall, self.now)
 
     def restore(self, hall: str) -> None:
-        """Let an operator take a hall back."""
+        """Write an operator's directive to restore a hall."""
         self.store.append(HALLS_TOPIC, [Record(hall, None)], None)
         self.evacuated.pop(hall, None)
 
     def add_box(self, hall: str = "") -> str:
-        """Add an empty box; without a hall, the halls take turns."""
+        """Add an empty box; without a hall, halls are assigned in turn."""
         hall = hall or self.halls[(self._incarnations.count + 1) % len(self.halls)]
         return self._add_incarnation(self._incarnations.create(hall))
 
     def _add_incarnation(self, entry: BoxEntry) -> str:
-        """Let a life begin that is listed."""
+        """Start an incarnation and list it."""
         self.boxes[entry.incarnation] = BoxModel(
             entry.incarnation, self.parameters.lease_s
         )
@@ -148,42 +135,42 @@
 
     @property
     def leader(self) -> SchedulerProcess:
-        """The decider of the newest epoch."""
+        """The scheduler process of the newest epoch."""
         return self.processes[-1]
 
     def take_over(self) -> None:
-        """Let a new decider take over; the old one may not know."""
+        """Start a new leader; the former one may not notice."""
         epoch = self.processes[-1].epoch + 1 if self.processes else 1
         if not self.store_down:
             self.processes.append(SchedulerProcess(self, epoch))
 
     def reconnect_all(self) -> None:
-        """Let every decider reach the store and all boxes."""
+        """Reconnect every scheduler process to the store and all boxes."""
         for process in self.processes:
             process.without_store = False
             process.cut_from.clear()
 
     def kill(self) -> None:
-        """Kill the decider, whatever it holds back."""
+        """Kill the leader; decisions that wait for their write are lost."""
         self.leader.stopped = True
 
     def crash_box(self, choice: int) -> None:
-        """End a box's life; another one begins at its address a little later."""
+        """End an incarnation of a box; the next one starts at once."""
         incarnation = self._pick(choice)
         if incarnation is not None:
             self.box_crashes.crash(self.boxes[incarnation], self.now)
             self._restart_box(self.entries.pop(incarnation))
 
     def _restart_box(self, previous: BoxEntry) -> None:
-        """Let another life begin where one has ended."""
+        """Start the incarnation that follows an ended one."""
         entry = self._incarnations.restart(previous)
         if entry.box_id == previous.box_id:
-            # The list has one entry for an id.
+            # The list holds one entry per id.
             self.entries.pop(previous.incarnation, None)
         self._add_incarnation(entry)
 
     def _crash_boxes(self) -> None:
-        """Crash the boxes whose tasks do that, and let others answer in their place."""
+        """Crash boxes under crashing tasks; restart and unlist crashed boxes when due."""
         crashes = self.box_crashes
         for box in list(self.boxes.values()):
             if crashes.crash_due(box, self.now):
@@ -194,8 +181,7 @@
             self.entries.pop(incarnation, None)
 
     def resize_box(self, choice: int, cpu: int) -> None:
-        """Let the room of a box shrink or grow, as it says of itself; it refuses nothing
-        that does not fit."""
+        """Change the listed capacity; the box itself refuses no start."""
         incarnation = self._pick(choice)
         if incarnation is not None:
             entry = self.entries[incarnation]
@@ -204,7 +190,7 @@
             self.entries[incarnation] = entry._replace(cpu=cpu)
 
     def cut_box(self, choice: int, seconds: float) -> None:
-        """Cut a box off from every decider; it runs on."""
+        """Cut a box off from every scheduler process; its tasks keep running."""
         incarnation = self._pick(choice)
         if incarnation is not None:
             self.cut_until[incarnation] = self.now + seconds
@@ -218,7 +204,7 @@
         return alive[choice % len(alive)] if alive else None
 
     def submit(self, steps: tuple[Step, ...]) -> str:
-        """Hand in a job."""
+        """Submit a job and return its id."""
         job = f"{len(self._calls):016x}"
         submission = Submission(job, "q", "pool", f"spec-{job}", steps)
         self.send_call(SubmitJob(submission), job)
@@ -229,14 +215,14 @@
         self.send_call(CancelJob(job), f"cancel-{job}")
 
     def send_call(self, call: JobCall, request: str) -> None:
-        """Hand a call to the decider; its answer may never come."""
+        """Send a call to the leader; it may never be answered."""
         self._calls[request] = call
         if not self.leader.stopped and not self.leader.frozen:
             leader = self.leader
             leader.apply(leader.scheduler.handle_call(request, call, leader.now))
 
     def record_answer(self, decision: AnswerCall) -> None:
-        """Note what a caller was told."""
+        """Record the answer to a call."""
         call = self._calls[decision.request]
         if isinstance(call, SubmitJob) and isinstance(decision.outcome, JobAccepted):
             self.accepted[call.submission.job] = call.submission
@@ -244,7 +230,7 @@
             self.cancelled.setdefault(call.job, self.now)
 
     def send(self, sender: SchedulerProcess, command: Command) -> None:
-        """Carry an order to its box, or lose it, or let it come late."""
+        """Deliver a command, delay it, or lose it or its answer."""
         draw = self.random.random()
         box = sender.scheduler.state.boxes.get(command.incarnation)
         until = 0
@@ -257,9 +243,9 @@
         if draw < self.delayed_share:
             at = self.now + self.random.uniform(0.2, 6.0)
             self._delayed.append(DelayedCommand(at, sender.epoch, until, command))
-            outcome: CommandOutcome = BoxNoAnswer("late")
+            outcome: CommandOutcome = BoxNoAnswer("delayed")
         elif self._unreachable(sender, command.incarnation):
-            outcome = BoxNoAnswer("cut")
+            outcome = BoxNoAnswer("box unreachable")
         else:
             outcome = self._execute(command, until, sender.epoch)
             if draw > 1.0 - self.lost_answer_share:
@@ -321,9 +307,9 @@
         acknowledged_end: int,
         lease_ends_ms: int | None,
     ) -> PollOutcome:
-        """Look at a box."""
+        """Poll a box."""
         if self._unreachable(sender, incarnation):
-            return BoxNoAnswer("cut")
+            return BoxNoAnswer("box unreachable")
         box = self.boxes[incarnation]
         if not box.alive:
             return self._answer_of_ended(incarnation)
@@ -344,10 +330,10 @@
             for run in other.history:
                 expired = any(ended < at <= run.began for at in box.lapses)
                 if run.task == row.task and run.began > ended and not expired:
-                    raise PromiseBroken(f"{run.task} began after an end that counts")
+                    raise PromiseBroken(f"{run.task} began after an acknowledged end")
 
     def _answer_of_ended(self, incarnation: str) -> BoxReplaced | BoxNoAnswer:
-        """Return what a call gets at the address of a life that has ended."""
+        """Return the answer to a call that addresses an ended incarnation."""
         if self.box_crashes.is_down(incarnation, self.now):
             return BoxNoAnswer("connection refused", sent=False)
         return BoxReplaced()
@@ -358,7 +344,7 @@
         )
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance virtual time by ``seconds``, tick by tick."""
         for _ in range(max(1, round(seconds / TICK_INTERVAL_S))):
             self.now += TICK_INTERVAL_S
             self._run_boxes()
@@ -387,11 +373,10 @@
                     box.end(run.task, "failed" if failed else "done", self.now)
 
     def _is_long_running(self, task: str) -> bool:
-        """Say whether a task runs until its job is cancelled."""
         return self._step(task).long_running
 
     def check(self) -> None:
-        """Judge what runs now and what began since the last look.
+        """Check the running tasks, and the runs that began since the last check.
 
         :raises PromiseBroken: naming the task.
         """
@@ -408,12 +393,12 @@
                     self._check_capacity(box)
 
     def _recent_capacity(self, incarnation: str) -> int:
-        """Return the room that a box had until a moment ago, if it shrank."""
+        """Return the earlier capacity while a start may rely on it, otherwise 0."""
         previous, until = self._earlier_capacity.get(incarnation, (0, 0.0))
         return previous if self.now <= until else 0
 
     def _check_capacity(self, box: BoxModel) -> None:
-        """Judge that a start left a box within its room; what is being stopped counts."""
+        """Check that a box is within its capacity; tasks that are stopping count."""
         entry = self.entries.get(box.incarnation)
         if entry is None:
             return
@@ -421,7 +406,7 @@
         used = sum(self._step(run.task).cpu for run in box.running.values())
         if used > capacity:
             raise PromiseBroken(
-                f"{box.incarnation} has room for {capacity}, and runs {used}"
+                f"{box.incarnation} has a capacity of {capacity}, and its tasks use {used}"
             )
 
     def _step(self, task: str) -> Step:
@@ -439,7 +424,7 @@
         if self.box_crashes.exceeds_start_limit(run.task):
             raise PromiseBroken(f"{run.task} crashes its boxes and is started again")
         if run.spec != f"spec-{job}" or job not in self._calls:
-            raise PromiseBroken(f"{run.task} was not asked for")
+            raise PromiseBroken(f"{run.task} was not submitted")
         self._check_dependencies(run, job)
 
     def _check_dependencies(self, run: BoxRun, job: str) -> None:
@@ -464,7 +449,7 @@
                 self.cancel(job)
 
     def _may_fail(self, job: str) -> bool:
-        """Say whether a task of a job failed often enough, or lost enough boxes."""
+        """Return whether a task used up its attempts or crashed too many boxes."""
         failed: collections.Counter[str] = collections.Counter(
             run.task
             for box in self.boxes.values()
@@ -478,10 +463,9 @@
         return exhausted or self.box_crashes.may_be_given_up(job)
 
     def settle(self, seconds: float) -> None:
-        """Mend everything, cancel what lasts, and check that every accepted job comes to
-        its end.
+        """Clear all faults, cancel long-running jobs, and check that each job ends.
 
-        :raises PromiseBroken: if one was lost or stands still.
+        :raises PromiseBroken: if an accepted job is lost or stalled.
         """
         self.delayed_share = self.lost_answer_share = self.task_failure_share = 0.0
         self.cut_until.clear()
@@ -496,12 +480,12 @@
             self._cancel_long_running()
             self.advance(1.0)
             seconds -= 1.0
-        # What is left of ended jobs stops within a look or two.
+        # Leftover tasks of ended jobs stop within one or two polls.
         self.advance(1.0)
         for job in self.accepted:
             workflow = state.workflows.get(job)
             if workflow is None:
-                raise PromiseBroken(f"{job} was accepted and is not known")
+                raise PromiseBroken(f"{job} was accepted but is missing")
             if not workflow.terminal:
                 unfinished = [
                     t.name for t in workflow.tasks.values() if t.state != DONE
