--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -25,7 +25,7 @@
 from granitetrestle_standins.runfacts import job_of
 from granitetrestle_standins.runjudge import ViolationKind
 from granitetrestle_standins.runjudge import judge
-from granitetrestle_standins.soakwitness import SoakWitness
+from granitetrestle_standins.soakwitness import SoakObserver
 
 EARLIER_JOB = "a" * 16
 JOB = "b" * 16
@@ -36,7 +36,7 @@
 
 
 def facts(context):
-    return SoakWitness(context.cluster).facts()._replace(last_fault=None)
+    return SoakObserver(context.cluster).facts()._replace(last_fault=None)
 
 
 @given(
--- a/src/granitetrestle_standins/nativesoak.py
+++ b/src/granitetrestle_standins/nativesoak.py
@@ -24,7 +24,7 @@
 from .runfacts import ClientEvent
 from .soakcrashes import SoakCrashes
 from .soaklinks import LinkFaults
-from .soakwitness import SoakWitness
+from .soakwitness import SoakObserver
 from .storereadings import READINGS
 
 __all__ = [
@@ -150,7 +150,7 @@
         )
         faults = () if links else None
         self._cluster = NativeCluster(folder, nodes, boxes, arguments, faults)
-        self._witness = SoakWitness(self._cluster)
+        self._observer = SoakObserver(self._cluster)
         self._links: LinkFaults | None = None
         if links:
             names = [f"b{box}" for box in range(boxes)]
@@ -180,36 +180,36 @@
         try:
             self._play()
         except PromiseBroken as error:
-            self._witness.stop()
+            self._observer.stop()
             # Without what carries its links the program can't keep any promise.
             self._cluster.check_rig()
-            error.add_note(self._witness.trace(self._folder, error.subject))
+            error.add_note(self._observer.trace(self._folder, error.subject))
             raise
         except AssertionError:
             self._cluster.check_rig()
             raise
         finally:
-            self._witness.stop()
-            self._thaw(all_of_them=True)
+            self._observer.stop()
+            self._thaw(all_faults=True)
             self._cluster.stop()
 
     def _play(self) -> None:
         self._cluster.ready()
-        self._witness.start()
+        self._observer.start()
         self._let_orders_be_late()
         for _ in range(self._operations):
             self._happen()
-            self._crashes.happen(self._cluster)
+            self._crashes.crash_boxes(self._cluster)
             time.sleep(self._draw.uniform(0.05, 0.35))
-            self._thaw(all_of_them=False)
+            self._thaw(all_faults=False)
             if self._links is not None:
-                self._links.end()
+                self._links.end_expired()
             self._judge(self._runs())
         if self._crashes.power_off(self._cluster):
             self._frozen.clear()
-            self._witness.disturbed()
+            self._observer.disturbed()
         self._settle()
-        self._witness.stop()
+        self._observer.stop()
         self._judge_facts()
         self._cluster.check_rig()
 
@@ -222,7 +222,7 @@
 
     def _judge_facts(self) -> None:
         """Judge the whole run by what boxes and clients saw."""
-        verdict = self._witness.verdict(self._folder)
+        verdict = self._observer.verdict(self._folder)
         self.unfenced_starts = verdict.unfenced_starts
         if verdict.violations:
             first = verdict.violations[0]
@@ -281,23 +281,23 @@
         status = self._ask("POST", job, body)
         if status == 200:
             self._accepted.add(job)
-            self._witness.told(job, ClientEvent.ACCEPTED)
+            self._observer.told(job, ClientEvent.ACCEPTED)
         elif status == REFUSED:
             self._refused.add(job)
-            self._witness.told(job, ClientEvent.REFUSED)
+            self._observer.told(job, ClientEvent.REFUSED)
 
     def _cancel(self) -> None:
         if self._accepted:
             job = self._draw.choice(sorted(self._accepted))
             self._cancelled.add(job)
-            self._witness.told(job, ClientEvent.CANCEL_SENT)
+            self._observer.told(job, ClientEvent.CANCEL_SENT)
             self._ask("DELETE", job)
 
     def _kill(self) -> None:
         name = self._any_node()
         self._thaw_node(name)
         self._cluster.kill(name)
-        self._witness.disturbed()
+        self._observer.disturbed()
         self._cluster.restart(name)
 
     def _stop(self) -> None:
@@ -305,7 +305,7 @@
         self._thaw_node(name)
         self._cluster.kill(name, signal.SIGTERM)
         self._cluster.restart(name)
-        self._witness.disturbed()
+        self._observer.disturbed()
 
     def _freeze(self) -> None:
         leader = self._cluster.leader()
@@ -323,17 +323,17 @@
 
     def _link_fault(self) -> None:
         assert self._links is not None
-        self._links.begin(self._cluster.leader())
+        self._links.inject(self._cluster.leader())
 
-    def _thaw(self, all_of_them: bool) -> None:
+    def _thaw(self, all_faults: bool) -> None:
         for name, until in list(self._frozen.items()):
-            if all_of_them or time.monotonic() > until:
+            if all_faults or time.monotonic() > until:
                 self._thaw_node(name)
 
     def _thaw_node(self, name: str) -> None:
         if self._frozen.pop(name, None) is not None:
             self._cluster.kill(name, signal.SIGCONT)
-            self._witness.disturbed()
+            self._observer.disturbed()
 
     def _box_silent(self) -> None:
         box = self._draw.randrange(self._cluster.boxes)
@@ -343,7 +343,7 @@
         how = self._draw.choice(("busy", "silent", "slow"))
         seconds = self._draw.choice((0.5, 1.5, 3.0))
         self._cluster.store(f"/test/store?how={how}&s={seconds}")
-        self._witness.disturbed(time.monotonic() + seconds)
+        self._observer.disturbed(time.monotonic() + seconds)
 
     def _evacuate(self) -> None:
         hall = self._draw.choice(HALLS)
@@ -396,16 +396,16 @@
 
     def _settle(self) -> None:
         """Take every hall back, let all be well, and wait for all work to end."""
-        self._thaw(all_of_them=True)
+        self._thaw(all_faults=True)
         if self._links is not None:
-            self._links.end(all_of_them=True)
+            self._links.end_expired(all_faults=True)
         for box in range(self._cluster.boxes):
             self._cluster.box(box, "/test/late?share=0&s=0")
         for hall, spans in self._closed.items():
             if spans and spans[-1][1] == float("inf"):
                 self._cluster.order(f"evacuate/{hall}")
                 spans[-1] = (spans[-1][0], 0.0)
-        self._witness.wait_for_decision()
+        self._observer.wait_for_decision()
         for job in sorted(self._accepted):
             self._ended(job)
         self._judge(self._runs())
@@ -421,7 +421,7 @@
         except AssertionError as error:
             state = self._cluster.state(job)
             if state is None:
-                self._witness.told(job, ClientEvent.UNANSWERED)
+                self._observer.told(job, ClientEvent.UNANSWERED)
             raise PromiseBroken(f"{job} was accepted and is {state}", job) from error
 
 
--- a/src/granitetrestle_standins/soaklinks.py
+++ b/src/granitetrestle_standins/soaklinks.py
@@ -16,12 +16,12 @@
 
 # How long a fault lasts: from less than a decider's silence that is noticed (0.8 s) to
 # several leases.
-LAST_S: t.Final = (0.4, 1.0, 2.0, 4.0, 8.0, 12.0)
+FAULT_DURATIONS_S: t.Final = (0.4, 1.0, 2.0, 4.0, 8.0, 12.0)
 # What is held back arrives after a call's time-out, a take-over or a lease.
-LATE_S: t.Final = (0.3, 0.8, 1.5, 3.0, 6.0)
-DELAY_S: t.Final = (0.02, 0.1, 0.3, 0.7)
-SLOW_BYTES_PER_S: t.Final = (1_000.0, 10_000.0, 100_000.0)
-KINDS: t.Final = (
+HOLD_TIMES_S: t.Final = (0.3, 0.8, 1.5, 3.0, 6.0)
+DELAYS_S: t.Final = (0.02, 0.1, 0.3, 0.7)
+RATES_BYTES_PER_S: t.Final = (1_000.0, 10_000.0, 100_000.0)
+KIND_WEIGHTS: t.Final = (
     (FaultKind.CUT, 6),
     (FaultKind.LATE, 4),
     (FaultKind.LOST_ANSWER, 3),
@@ -31,7 +31,7 @@
 )
 
 
-class _Lasting(t.NamedTuple):
+class _ActiveFault(t.NamedTuple):
     """A fault that is in force.
 
     :param until: seconds on the monotonic clock.
@@ -46,71 +46,71 @@
 
     def __init__(
         self,
-        draw: random.Random,
+        rng: random.Random,
         links: Links,
         nodes: t.Sequence[str],
         boxes: t.Sequence[str],
         halls: t.Sequence[str],
     ) -> None:
-        self._draw = draw
+        self._random = rng
         self._links = links
         self._nodes = nodes
         self._boxes = boxes
         self._halls = halls
-        self._lasting: list[_Lasting] = []
+        self._active: list[_ActiveFault] = []
 
-    def begin(self, leader: str | None) -> None:
+    def inject(self, leader: str | None) -> None:
         """Bring faults about.
 
         :param leader: who decides, as far as is known.
         """
-        kinds, weights = zip(*KINDS, strict=True)
-        (kind,) = self._draw.choices(kinds, weights)
-        both = self._draw.random() < 0.5
-        amount = self._amount(kind)
-        until = time.monotonic() + self._draw.choice(LAST_S)
-        for source, target in self._where(leader):
-            fault = Fault(kind, source, target, both, amount)
+        kinds, weights = zip(*KIND_WEIGHTS, strict=True)
+        (kind,) = self._random.choices(kinds, weights)
+        both_ways = self._random.random() < 0.5
+        amount = self._draw_amount(kind)
+        until = time.monotonic() + self._random.choice(FAULT_DURATIONS_S)
+        for source, target in self._draw_links(leader):
+            fault = Fault(kind, source, target, both_ways, amount)
             self._links.set(fault)
             if kind is not FaultKind.LATE:
                 # What is held back arrives by itself.
-                self._lasting.append(_Lasting(until, fault))
+                self._active.append(_ActiveFault(until, fault))
 
-    def end(self, all_of_them: bool = False) -> None:
+    def end_expired(self, all_faults: bool = False) -> None:
         """End faults whose time is over."""
-        if all_of_them:
-            self._lasting.clear()
+        if all_faults:
+            self._active.clear()
             self._links.heal()
             return
         now = time.monotonic()
-        over = [lasting for lasting in self._lasting if lasting.until <= now]
-        if not over:
+        expired = [active for active in self._active if active.until <= now]
+        if not expired:
             return
-        self._lasting = [lasting for lasting in self._lasting if lasting.until > now]
-        for lasting in over:
-            self._links.heal(lasting.fault.source, lasting.fault.target)
+        self._active = [active for active in self._active if active.until > now]
+        for active in expired:
+            self._links.heal(active.fault.source, active.fault.target)
         # Others on the same links go on.
-        for lasting in self._lasting:
-            self._links.set(lasting.fault)
+        for active in self._active:
+            self._links.set(active.fault)
 
-    def _amount(self, kind: FaultKind) -> float:
+    def _draw_amount(self, kind: FaultKind) -> float:
         if kind is FaultKind.LATE:
-            return self._draw.choice(LATE_S)
+            return self._random.choice(HOLD_TIMES_S)
         if kind is FaultKind.DELAY:
-            return self._draw.choice(DELAY_S)
+            return self._random.choice(DELAYS_S)
         if kind is FaultKind.SLOW:
-            return self._draw.choice(SLOW_BYTES_PER_S)
+            return self._random.choice(RATES_BYTES_PER_S)
         return 0.0
 
-    def _where(self, leader: str | None) -> list[tuple[str, str]]:
+    def _draw_links(self, leader: str | None) -> list[tuple[str, str]]:
         """Draw the links, each as a source and a target."""
-        node = leader if self._draw.random() < 0.6 else None
-        node = node or self._draw.choice(self._nodes)
+        node = leader if self._random.random() < 0.6 else None
+        node = node or self._random.choice(self._nodes)
         others = [other for other in self._nodes if other != node]
-        some = [box for box in self._boxes if self._draw.random() < 0.5]
-        places = (
-            ([self._draw.choice(others)] if others else [], 3),
-            ([self._draw.choice(self._boxes)], 3),
+        some = [box for box in self._boxes if self._random.random() < 0.5]
+        target_weights = (
+            ([self._random.choice(others)] if others else [], 3),
+            ([self._random.choice(self._boxes)], 3),
             ([STORE], 3),
             ([CLIENT], 1),
             # All others lose the decider, which still reaches the store and the boxes.
@@ -119,10 +119,12 @@
             ([STORE, *others], 2),
             ([STORE, *others, *self._boxes], 2),
         )
-        (chosen,) = self._draw.choices([p for p, _ in places], [w for _, w in places])
-        hall = self._draw.choice(self._halls)
-        if not chosen or self._draw.random() < 0.2:
+        (chosen,) = self._random.choices(
+            [p for p, _ in target_weights], [w for _, w in target_weights]
+        )
+        hall = self._random.choice(self._halls)
+        if not chosen or self._random.random() < 0.2:
             pair = (hall, EVERYBODY)
-            return [pair if self._draw.random() < 0.5 else (pair[1], pair[0])]
-        outwards = self._draw.random() < 0.5
-        return [(node, one) if outwards else (one, node) for one in chosen]
+            return [pair if self._random.random() < 0.5 else (pair[1], pair[0])]
+        outbound = self._random.random() < 0.5
+        return [(node, one) if outbound else (one, node) for one in chosen]
--- a/src/granitetrestle_standins/soakwitness.py
+++ b/src/granitetrestle_standins/soakwitness.py
@@ -27,7 +27,7 @@
 from granitetrestle_standins.runjudge import judge
 from granitetrestle_standins.runtimeline import merged_timeline
 
-__all__ = ["SoakWitness"]
+__all__ = ["SoakObserver"]
 
 # Fine enough to tell the bound for the next decision by.
 ASK_EVERY_S: t.Final = 0.1
@@ -44,7 +44,7 @@
 }
 
 
-class SoakWitness:
+class SoakObserver:
     """Notes what is seen, from threads of its own as well.
 
     :ivar last_fault: when the last disturbance is over that can keep the program from
