--- a/features/run_judge.feature
+++ b/features/run_judge.feature
@@ -8,11 +8,11 @@
 
   Scenario Outline: <why>
     Given a task that ran "<runs>"
-    And the further facts "<further>"
+    And the further facts "<beside>"
     Then the judge finds "<found>"
 
     Examples: A start after an end that counts
-      | why                                                       | runs                         | further     | found           |
+      | why                                                       | runs                         | beside      | found           |
       | A start after an end acknowledged before it               | done 2-3 @4; b2: done 4.5-5  |             | AFTER_NOTED_END |
       | A start after an end acknowledged later                   | done 2-3 @9; b2: done 4-5    |             | AFTER_NOTED_END |
       | A start on the same box after an acknowledged end         | done 2-3 @9; done 4-5        |             | AFTER_NOTED_END |
@@ -27,7 +27,7 @@
       | A task with speculative copies                            | done 2-3 @4; b2: done 6-7    | speculative |                 |
 
     Examples: A start long after an acknowledged end or the job shown as completed
-      | why                                             | runs                        | further                     | found                          |
+      | why                                             | runs                        | beside                      | found                          |
       | A start over a second after the acknowledgement | done 2-3 @4; b2: done 5.1-6 |                             | AFTER_NOTED_END LONG_AFTER_END |
       | A start over a second after the job was shown   | done 2-3; b2: done 5.1-6    | client completed 4          | LONG_AFTER_END                 |
       | A start within a second after the job was shown | done 2-3; b2: done 4.9-6    | client completed 4          |                                |
@@ -35,7 +35,7 @@
       | A long-running task of a job shown as completed | done 2-3; b2: done 6-7      | lasting; client completed 4 |                                |
 
     Examples: Two runs at a time
-      | why                                                  | runs                                       | further     | found                             |
+      | why                                                  | runs                                       | beside      | found                             |
       | Two runs that overlap                                | done 2-4; b2: stopped 3-3.5                |             | OVERLAPPING_RUNS                  |
       | A third run overlaps the first, after a short second | done 2-9; b2: stopped 3-4; b3: stopped 5-6 |             | OVERLAPPING_RUNS OVERLAPPING_RUNS |
       | A run overlaps one that has not ended                | runs 2; b2: stopped 3-4                    |             | OVERLAPPING_RUNS                  |
@@ -44,14 +44,14 @@
       | Two runs at a time of a task with speculative copies | runs 2; b2: stopped 3-4                    | speculative |                                   |
 
     Examples: Epochs
-      | why                                                 | runs     | further                                  | found       |
+      | why                                                 | runs     | beside                                   | found       |
       | A lower epoch after a higher one on a box           | done 2-3 | epoch b1 5 1; epoch b1 7 2; epoch b1 5 3 | LOWER_EPOCH |
       | A lower epoch on another box                        | done 2-3 | epoch b1 7 2; epoch b2 5 3               |             |
       | A start that only the box's fence refused           | done 2-3 | refused b1 accepted 2                    | unfenced    |
       | A start refused for its epoch and as an old run too | done 2-3 | refused b1 old 2                         |             |
 
     Examples: Accepted work
-      | why                                                 | runs     | further                                                | found       |
+      | why                                                 | runs     | beside                                                 | found       |
       | An accepted job is not known                        | done 2-3 | client accepted 1; client gone 5                       | UNKNOWN_JOB |
       | No process answers about an accepted job            | done 2-3 | client accepted 1; client unanswered 5                 | UNKNOWN_JOB |
       | A job that was never accepted is not known          | done 2-3 | client gone 5                                          |             |
@@ -60,7 +60,7 @@
       | An ended job is not known after the retention time  | done 2-3 | client accepted 1; client completed 4; client gone 125 |             |
 
     Examples: A leader after the last disturbance
-      | why                                                  | runs     | further                                      | found       |
+      | why                                                  | runs     | beside                                       | found       |
       | The first answer comes late                          | done 2-3 | fault over 10; call 10.1 none; call 11 11.6  | NO_DECISION |
       | No answer comes                                      | done 2-3 | fault over 10; call 10.1 none                | NO_DECISION |
       | An answer to a call from before the end of the fault | done 2-3 | fault over 10; call 9.9 10.1; call 10.2 none | NO_DECISION |
