--- a/features/run_judge.feature
+++ b/features/run_judge.feature
@@ -47,7 +47,7 @@
       | why                                                 | runs     | beside                                   | found       |
       | A lower epoch after a higher one on a box           | done 2-3 | epoch b1 5 1; epoch b1 7 2; epoch b1 5 3 | LOWER_EPOCH |
       | A lower epoch on another box                        | done 2-3 | epoch b1 7 2; epoch b2 5 3               |             |
-      | A start that only the box's fence refused           | done 2-3 | refused b1 accepted 2                    | unfenced    |
+      | A start that only the box's fence refused           | done 2-3 | refused b1 taken 2                       | unfenced    |
       | A start refused for its epoch and as an old run too | done 2-3 | refused b1 old 2                         |             |
 
     Examples: Accepted work
@@ -69,7 +69,7 @@
 
   Scenario: The timeline of a task has all facts about it, in order of time
     Given a task that ran "done 2-3 @4; b2: done 4.5-5"
-    And the further facts "client accepted 1; lapse b1 8; epoch b1 7 1.5; refused b2 accepted 3.5; lapse b3 4"
+    And the further facts "client accepted 1; lapse b1 8; epoch b1 7 1.5; refused b2 taken 3.5; lapse b3 4"
     Then the timeline of the task reads
       """
       1.0 client: accepted
--- a/features/steps/judge_steps.py
+++ b/features/steps/judge_steps.py
@@ -48,7 +48,7 @@
 
 
 def refused_start(box, otherwise, at):
-    return RefusedStart(box, float(at), TASK, 1, 5, EPOCH, otherwise == "accepted")
+    return RefusedStart(box, float(at), TASK, 1, 5, EPOCH, otherwise == "taken")
 
 
 def add_fact(facts, text):
