--- a/features/native_machines.py
+++ b/features/native_machines.py
@@ -100,14 +100,14 @@
         self.world.task_failure_share = fail / 2
 
     @rule(hall=st.sampled_from(["h1", "h2"]), evacuated=st.booleans())
-    def order_hall(self, hall, evacuated):
+    def set_hall_directive(self, hall, evacuated):
         if evacuated:
             self.world.evacuate(hall)
         else:
             self.world.restore(hall)
 
     @rule()
-    def forget_orders(self):
+    def forget_directives(self):
         self.world.store.forget(HALLS_TOPIC)
 
     @rule(down=st.booleans())
--- a/features/random_shard.py
+++ b/features/random_shard.py
@@ -1,6 +1,6 @@
 """Seeded random work and faults over the real decider among model boxes, with tasks that
 crash each box that starts them. By hand: ``python features/random_shard.py FIRST LAST``
-plays seeds (after ``rooms``, ``suspended``, ``parted`` or ``restarts`` boxes also shrink and grow, machines are suspended, deciders go on without the store, or boxes that crash keep their ids and do so more often), ``python features/random_shard.py innocent FIRST LAST`` counts jobs that are
+plays seeds (after ``rooms``, ``suspended``, ``parted`` or ``restarts`` boxes also shrink and grow, machines are suspended, deciders go on without the store, or boxes that crash keep their ids and do so extra often), ``python features/random_shard.py innocent FIRST LAST`` counts jobs that are
 given up though they did nothing wrong."""
 
 import random
@@ -13,101 +13,101 @@
 from native_machines import STEPS
 
 # As often as they stand here; "bad" hands in work that crashes boxes.
-KINDS = [
+EVENTS = [
     *("submit", "submit", "cancel", "wait", "wait", "wait"),
     *("kill", "depose", "freeze", "thaw", "crash", "crash", "cut"),
     *("disturb", "hall", "forget", "store", "bad", "bad"),
 ]
 # Boxes that shrink and grow; that start again under their ids; machines of deciders that are suspended; deciders that go on
 # without the store, each reaching some boxes.
-MORE = {
+EXTRA_EVENTS = {
     "rooms": (*["room"] * 4, *["submit"] * 3),
     "suspended": (*["suspend"] * 4, *["wake"] * 3, *["submit"] * 3),
     "restarts": (*["crash"] * 4, *["submit"] * 3),
     "parted": (*["part"] * 4, *["join"] * 2, *["submit"] * 3, *["cut"] * 3),
 }
-FULL_ROOM = 4000
-PAUSES = (0.05, 0.1, 0.5, 1.0, 3.0)
-SHARES = (0, 0.1, 0.5)
+FULL_CPU = 4000
+PAUSES_S = (0.05, 0.1, 0.5, 1.0, 3.0)
+FAULT_SHARES = (0, 0.1, 0.5)
 
 
 class RandomShard:
     """One seed: sixty things that happen, and then everything settles.
 
-    :param more: what else happens than the kinds above, by its name in ``MORE``; each as
+    :param more: what else happens than the kinds above, by its name in ``EXTRA_EVENTS``; each as
         often as it stands there.
     """
 
-    def __init__(self, seed, more=""):
-        self._kinds = [*KINDS, *MORE.get(more, ())]
+    def __init__(self, seed, extra=""):
+        self._events = [*EVENTS, *EXTRA_EVENTS.get(extra, ())]
         self._draw = random.Random(seed)
         boxes = self._draw.randrange(10**6), self._draw.randint(1, 5)
-        keep_ids = more == "restarts"
+        keep_ids = extra == "restarts"
         self.world = ShardWorld(*boxes, ("h1", "h2"), keep_ids=keep_ids)
         self._jobs = []
 
     def run(self):
         self.world.advance(0.3)
         for _ in range(60):
-            self._happen(self._draw.choice(self._kinds))
+            self._run_event(self._draw.choice(self._events))
         for number, entry in enumerate(sorted(self.world.entries)):
             # Nothing waits for room in the end.
-            if self.world.entries[entry].cpu < FULL_ROOM:
-                self.world.resize_box(number, FULL_ROOM)
+            if self.world.entries[entry].cpu < FULL_CPU:
+                self.world.resize_box(number, FULL_CPU)
         self.world.settle(300.0)
 
-    def _happen(self, kind):
+    def _run_event(self, event):
         draw, world = self._draw, self.world
-        if kind == "submit":
+        if event == "submit":
             self._jobs.append(world.submit(draw.choice(STEPS.elements)))
-        elif kind == "cancel" and self._jobs:
+        elif event == "cancel" and self._jobs:
             world.cancel(draw.choice(self._jobs))
-        elif kind == "wait":
-            world.advance(draw.choice(PAUSES))
-        elif kind == "kill":
+        elif event == "wait":
+            world.advance(draw.choice(PAUSES_S))
+        elif event == "kill":
             world.kill()
-            world.advance(draw.choice(PAUSES))
+            world.advance(draw.choice(PAUSES_S))
             world.take_over()
-        elif kind == "depose":
+        elif event == "depose":
             world.take_over()
-        elif kind == "freeze":
+        elif event == "freeze":
             world.leader.frozen = True
             world.take_over()
-        elif kind == "thaw":
+        elif event == "thaw":
             for process in world.processes:
                 process.resume()
-        elif kind == "crash":
+        elif event == "crash":
             world.crash_box(draw.randrange(100))
-        elif kind == "cut":
+        elif event == "cut":
             world.cut_box(draw.randrange(100), draw.choice((0.5, 2.0, 4.0, 8.0)))
-        elif kind == "disturb":
-            world.delayed_share = draw.choice(SHARES) / 2
-            world.lost_answer_share = draw.choice(SHARES) / 2
-            world.task_failure_share = draw.choice(SHARES) / 2
-        elif kind == "hall":
-            order = world.evacuate if draw.random() < 0.5 else world.restore
-            order(draw.choice(["h1", "h2"]))
-        elif kind == "forget":
+        elif event == "disturb":
+            world.delayed_share = draw.choice(FAULT_SHARES) / 2
+            world.lost_answer_share = draw.choice(FAULT_SHARES) / 2
+            world.task_failure_share = draw.choice(FAULT_SHARES) / 2
+        elif event == "hall":
+            send_directive = world.evacuate if draw.random() < 0.5 else world.restore
+            send_directive(draw.choice(["h1", "h2"]))
+        elif event == "forget":
             world.store.forget(HALLS_TOPIC)
-        elif kind == "store":
+        elif event == "store":
             world.store_down = draw.random() < 0.5
-        elif kind == "bad":
+        elif event == "bad":
             self._submit_crashing()
-        elif kind == "suspend":
+        elif event == "suspend":
             world.leader.suspend()
             if draw.random() < 0.5:
                 world.take_over()
-        elif kind == "wake":
+        elif event == "wake":
             for process in world.processes:
                 process.resume()
-        elif kind == "part":
-            self._part()
-        elif kind == "join":
+        elif event == "part":
+            self._partition()
+        elif event == "join":
             world.reconnect_all()
-        elif kind == "room":
+        elif event == "room":
             world.resize_box(draw.randrange(100), draw.choice((0, 1000, 2500, 4000)))
 
-    def _part(self):
+    def _partition(self):
         """Let a decider lose the store and some boxes, and a successor the others."""
         draw, world = self._draw, self.world
         incarnations = sorted(world.entries)
@@ -115,7 +115,7 @@
         older = world.leader
         older.without_store = True
         older.cut_from |= lost
-        world.advance(draw.choice(PAUSES))
+        world.advance(draw.choice(PAUSES_S))
         world.take_over()
         if world.leader is not older:
             world.leader.cut_from |= set(incarnations) - lost
@@ -135,23 +135,27 @@
     tasks that do that, how many other jobs were given up, and how many there were."""
     world = ShardWorld(seed, 12)
     step = Step(count=4, cpu=500, memory_mb=10)
-    lasting = Step(count=4, cpu=500, memory_mb=10, long_running=True)
-    others = [world.submit((lasting,)) for _ in range(6)]
+    long_running = Step(count=4, cpu=500, memory_mb=10, long_running=True)
+    others = [world.submit((long_running,)) for _ in range(6)]
     world.advance(8.0)
-    bad = []
+    crashing_jobs = []
     for turn in range(400):
         world.advance(0.1)
         if world.random.random() < 0.8:
             others.append(world.submit((step,)))
-        if turn % 33 == 0 and len(bad) < culprits:
-            bad.append(world.submit((step,)))
-            world.box_crashes.crashing.add(f"{bad[-1]}.0.0.{world.random.randrange(4)}")
+        if turn % 33 == 0 and len(crashing_jobs) < culprits:
+            crashing_jobs.append(world.submit((step,)))
+            world.box_crashes.crashing.add(
+                f"{crashing_jobs[-1]}.0.0.{world.random.randrange(4)}"
+            )
     world.advance(30.0)
     states = {
         job: workflow.state
         for job, workflow in world.leader.scheduler.state.workflows.items()
     }
-    assert all(states[job] == "failed" for job in bad), [states[job] for job in bad]
+    assert all(states[job] == "failed" for job in crashing_jobs), [
+        states[job] for job in crashing_jobs
+    ]
     crashes = [
         world.box_crashes.counts.get(task, 0) for task in world.box_crashes.crashing
     ]
@@ -159,7 +163,7 @@
 
 
 def main():
-    more = sys.argv.pop(1) if sys.argv[1] in MORE else ""
+    extra = sys.argv.pop(1) if sys.argv[1] in EXTRA_EVENTS else ""
     if sys.argv[1] == "innocent":
         rows = [crashes_among_others(s) for s in range(*map(int, sys.argv[2:4]))]
         crashes = [count for row in rows for count in row[0]]
@@ -170,7 +174,7 @@
     broken = 0
     for seed in range(*map(int, sys.argv[1:3])):
         try:
-            RandomShard(seed, more).run()
+            RandomShard(seed, extra).run()
         except PromiseBroken as error:
             broken += 1
             print(f"seed {seed}: {error}", flush=True)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -21,10 +21,10 @@
 
 def notes(context, event):
     return [
-        note
+        log_event
         for process in context.world.processes
-        for note in process.log_events
-        if note.event == event
+        for log_event in process.log_events
+        if log_event.event == event
     ]
 
 
@@ -163,7 +163,9 @@
 def ended_once(context):
     world = context.world
     ends = [
-        note for note in notes(context, "box_over") if note.subject == context.ended
+        log_event
+        for log_event in notes(context, "box_over")
+        if log_event.subject == context.ended
     ]
     assert len(ends) == 1, ends
     world.submit((Step(count=3, cpu=3000, memory_mb=10),))
@@ -350,8 +352,10 @@
 
 
 @then("the first is suspected, and the other is not")
-def only_begun(context):
-    lost = {note.subject: note.inputs for note in notes(context, "run_lost")}
+def only_started_suspected(context):
+    lost = {
+        log_event.subject: log_event.inputs for log_event in notes(context, "run_lost")
+    }
     assert lost[f"{context.started_job}.0.0.0"]["suspicion"] == LIKELY_POINTS, lost
     assert lost[f"{context.held_job}.0.0.0"]["suspicion"] == 0, lost
 
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -184,7 +184,7 @@
     assert hall_of_runs(context, context.waiting) == set()
     # It was reported once, when it began.
     assert held(world.now) == []
-    assert "starts_held" in {note.event for note in world.leader.log_events}
+    assert "starts_held" in {log_event.event for log_event in world.leader.log_events}
 
 
 @when("the leader reads directives again")
@@ -196,7 +196,9 @@
 @then("the waiting tasks start")
 def waiting_tasks_start(context):
     assert hall_of_runs(context, context.waiting)
-    assert "starts_go_on" in {note.event for note in context.world.leader.log_events}
+    assert "starts_go_on" in {
+        log_event.event for log_event in context.world.leader.log_events
+    }
 
 
 @given("a command window that lets nothing pass")
@@ -362,7 +364,7 @@
     context.at = box
 
 
-def better_box(context):
+def move_target(context):
     halls = context.halls
     halls.scheduler.state.index.refresh(halls.now)
     return halls.scheduler.dispatcher._better_box(context.task, halls.now)
@@ -370,7 +372,7 @@
 
 @then("it would move to a box")
 def would_move(context):
-    assert better_box(context) is not None
+    assert move_target(context) is not None
 
 
 @when("h1 is evacuated there")
@@ -381,7 +383,7 @@
 
 @then("it would move to the box in h2")
 def would_move_in_hall(context):
-    box = better_box(context)
+    box = move_target(context)
     # Without the evacuation the idle box of h1 ranks as well as that of h2.
     assert box is not None and box.entry.hall == "h2" and box.incarnation != context.at
 
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -95,11 +95,13 @@
 
 @then("every 2 seconds from 3 on it is told that it waits for {cause}")
 def cause_reported(context, cause):
-    notes = [
-        note for note in context.harness.log_events if note.event == "lasting_waits"
+    log_events = [
+        log_event
+        for log_event in context.harness.log_events
+        if log_event.event == "lasting_waits"
     ]
-    causes = [note.inputs["cause"] for note in notes]
-    assert 1 <= len(causes) <= 3 and set(causes) == {cause}, notes
+    causes = [log_event.inputs["cause"] for log_event in log_events]
+    assert 1 <= len(causes) <= 3 and set(causes) == {cause}, log_events
     causes = context.harness.scheduler.long_running_waits.causes
     counted = {counted.value for counted, tasks in causes.items() if tasks}
     assert counted == {cause}, causes
@@ -114,12 +116,12 @@
         self.long_running = self.harness.submit("lasting", ONE)
         self.long_running_starts = []
         self.short_starts = []
-        self._seen = set()
+        self._recorded = set()
         self._jobs = 0
 
-    def _note(self, task):
-        if (task.name, task.run) not in self._seen:
-            self._seen.add((task.name, task.run))
+    def _record_start(self, task):
+        if (task.name, task.run) not in self._recorded:
+            self._recorded.add((task.name, task.run))
             starts = (
                 self.long_running_starts
                 if task.spec.long_running
@@ -133,7 +135,7 @@
         before = self._tasks()
         harness.wait(0.1)
         for task in self._tasks():
-            self._note(task)
+            self._record_start(task)
         for task in before:
             if task.placed and (self.fails or not task.spec.long_running):
                 harness.end(task, "failed" if self.fails else "done")
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -29,20 +29,20 @@
 from granitetrestle.workflows import Step
 from granitetrestle.workflows import Submission
 
-CLIENTS, MAX_TRIES, ROUND_TRIP_S = 4000, 5, 0.02
+CLIENT_COUNT, MAX_ATTEMPTS, ROUND_TRIP_S = 4000, 5, 0.02
 
 
 def simulate_outage(policy, outage_s):
     """Return the percentage of the clients that are accepted, and their mean wait."""
     waits = []
-    for number in range(CLIENTS):
-        arrived_at = at = outage_s * number / CLIENTS
-        for _ in range(MAX_TRIES):
+    for number in range(CLIENT_COUNT):
+        arrived_at = at = outage_s * number / CLIENT_COUNT
+        for _ in range(MAX_ATTEMPTS):
             if at >= outage_s:
                 waits.append(at - arrived_at)
                 break
             at += policy.after_s(at) + ROUND_TRIP_S
-    return 100.0 * len(waits) / CLIENTS, sum(waits) / len(waits)
+    return 100.0 * len(waits) / CLIENT_COUNT, sum(waits) / len(waits)
 
 
 @given("clients that come during an outage of {seconds:g} seconds")
@@ -214,7 +214,7 @@
 
 
 @when("new jobs that need {share:g} of the room are submitted for {s:g} seconds")
-def new_ones(context, share, s):
+def submit_new_jobs(context, share, s):
     for shard in context.shards:
         rng = random.Random(6)
         room = share * len(shard.running) * shard.CPU / shard.TASK_CPU / shard.TASK_S
@@ -253,7 +253,7 @@
 
 
 @then("at least {factor:g} times as many jobs are of use as with {off} switched off")
-def more_of_use(context, factor, off):
+def more_within_three_objectives(context, factor, off):
     shipped, baseline = (shard.in_time(3.0) for shard in context.shards)
     assert baseline > 0 and shipped >= factor * baseline, (shipped, baseline)
 
@@ -274,7 +274,7 @@
 
 
 @then("the counts show waiting best-effort tasks, late ones and more that are too late")
-def figures_show(context):
+def counts_show(context):
     shard = context.shards[0]
     waiting = count_waiting_tasks(shard.scheduler.state.waiting.values(), shard.now)
     assert waiting["short"] == waiting["lasting"] == 0, waiting
@@ -286,7 +286,7 @@
     "a shard of {boxes:d} boxes with a limit of {most:d} starts in a pass, "
     "and an old job of 20 tasks"
 )
-def few_orders(context, boxes, most):
+def limited_starts(context, boxes, most):
     shard = SimulatedShard(boxes)
     shard.max_starts = most
     shard.submit(20)
@@ -296,7 +296,7 @@
 
 
 @when("jobs in time are submitted for {s:g} seconds, more than can be started")
-def keep_coming(context, s):
+def submit_jobs_in_time(context, s):
     (shard,) = context.shards
     old = shard.scheduler.state.workflows[next(iter(shard.jobs))]
     context.started = [shard.now]
--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -84,7 +84,7 @@
 
 
 @when("it hears from others of a newer decider")
-def hears_newer(context):
+def newer_leader_reported(context):
     context.leadership.record_report(status("n2", 6, "n9"), 15.9)
 
 
@@ -95,13 +95,13 @@
     assert not context.leadership.is_take_over_due(16.5)
 
 
-@given("a process that hears {heard:d} of {known:d} others, and no decider")
-def hears_some(context, heard, known):
+@given("a process that hears {reporting:d} of {known:d} others, and no decider")
+def some_report(context, reporting, known):
     leadership = context.leadership = Leadership("n0", 0.0, 0.0)
     for number in range(1, known + 1):
         leadership.record_report(status(f"n{number}", 5, "n9"), 10.0)
     leadership.update_majority(10.1)
-    for number in range(1, heard + 1):
+    for number in range(1, reporting + 1):
         leadership.record_report(status(f"n{number}", 5, "n9"), 11.5)
     assert leadership.is_take_over_due(12.0)
 
@@ -117,7 +117,7 @@
 
 
 @when("all others are heard again, the decider last")
-def heard_again(context):
+def all_report_again(context):
     for tick in range(6):
         for number in range(1, 9):
             context.leadership.record_report(
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -11,11 +11,11 @@
     "a lasting task runs, its box goes dark for good, {listed},"
     " and a successor takes over"
 )
-def dark_before_take_over(context, listed):
+def silent_before_take_over(context, listed):
     world = context.world
     task = lasting_task(context)
     world.cut_until[task.box] = world.now + 1000.0
-    context.dark, context.since = task.box, world.now
+    context.silent_box, context.since = task.box, world.now
     world.advance(2.0)
     context.entry = world.entries[task.box]
     if listed != "still listed":
@@ -32,7 +32,7 @@
     world = context.world
     task = lasting_task(context)
     world.cut_until[task.box] = world.now + 1000.0
-    context.dark, context.since = task.box, world.now
+    context.silent_box, context.since = task.box, world.now
     del world.entries[task.box]
     world.kill()
     world.parameters = SchedulerParameters(lease_s=6.0, orphan_s=8.0, keep_s=600.0)
@@ -44,7 +44,9 @@
 def runs_on_another(context, seconds):
     world = context.world
     others = [
-        box for incarnation, box in world.boxes.items() if incarnation != context.dark
+        box
+        for incarnation, box in world.boxes.items()
+        if incarnation != context.silent_box
     ]
     while not any(box.running for box in others) and world.now - context.since < 20.0:
         world.advance(0.05)
@@ -89,18 +91,20 @@
 
 @when("nothing else happens")
 def nothing_else(context):
-    assert lease_records(context) == [f"l/{context.dark}"]
+    assert lease_records(context) == [f"l/{context.silent_box}"]
 
 
 @when("the box is back after all")
 def back_after_all(context):
-    assert lease_records(context) == [f"l/{context.dark}"]
-    context.world.entries[context.dark] = context.entry
-    del context.world.cut_until[context.dark]
+    assert lease_records(context) == [f"l/{context.silent_box}"]
+    context.world.entries[context.silent_box] = context.entry
+    del context.world.cut_until[context.silent_box]
 
 
 @then("{seconds:g} seconds later nothing is written of its leases")
 def no_lease_records(context, seconds):
     context.world.advance(seconds)
     assert lease_records(context) == []
-    assert context.dark not in context.world.leader.scheduler.state.withdrawn_leases
+    assert (
+        context.silent_box not in context.world.leader.scheduler.state.withdrawn_leases
+    )
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -34,9 +34,9 @@
     start = boxes.start
     context.arrived = []
 
-    async def slow_start(order, *rest):
+    async def slow_start(command, *rest):
         context.arrived.append(time.monotonic())
-        outcome = await start(order, *rest)
+        outcome = await start(command, *rest)
         await anyio.sleep(seconds)
         return outcome
 
@@ -78,7 +78,7 @@
     "it has {tasks:d} tasks to start there, stands still for {seconds:g} seconds, and "
     "another process takes over meanwhile"
 )
-def stands_still(context, tasks, seconds):
+def stalls_during_take_over(context, tasks, seconds):
     async def meanwhile(session):
         claim_epoch_for_successor(context)
         block_process(seconds)
@@ -87,7 +87,7 @@
 
 
 @when("it has {tasks:d} tasks to start there, and stands still for {seconds:g} seconds")
-def only_stands_still(context, tasks, seconds):
+def stalls_without_take_over(context, tasks, seconds):
     async def meanwhile(session):
         block_process(seconds)
         # Eight starts, four at a time, and the run time of the tasks.
@@ -100,7 +100,7 @@
     "it has {tasks:d} tasks to start there, and hears of a newer epoch that was "
     "claimed at the store"
 )
-def hears_of_another(context, tasks):
+def newer_epoch_observed(context, tasks):
     async def meanwhile(session):
         claim_epoch_for_successor(context)
         session.observe_epoch(2)
@@ -112,7 +112,7 @@
     "it stands still for {seconds:g} seconds while the answer to its record is on the "
     "way, and another process takes over meanwhile"
 )
-def stands_still_at_the_answer(context, seconds):
+def stalls_before_answer(context, seconds):
     store = context.world.store
     append = store.append
 
@@ -177,7 +177,7 @@
     "half of its starts waited {half:g} ms or less for the leader lease, and 99 in 100 "
     "{maximum:g} ms or less"
 )
-def hardly_wait(context, half, maximum):
+def waits_are_short(context, half, maximum):
     waits = sorted(1000.0 * wait for wait in context.waits)
     assert len(waits) >= 100, len(waits)
     assert waits[len(waits) // 2] <= half, waits
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -75,13 +75,13 @@
     scheduler.handle_start_outcome(
         incarnation, start.task, start.run, CommandAccepted(200), 0.3
     )
-    context.left = scheduler.take_writes()
+    context.stored_records = scheduler.take_writes()
     context.scheduler = scheduler
 
 
 def takes_over(context, incarnation):
     context.scheduler = scheduler = new_scheduler(1.0)
-    scheduler.restore(context.left, 1.0)
+    scheduler.restore(context.stored_records, 1.0)
     context.effects = list_box(scheduler, incarnation, 1.0)
 
 
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -37,57 +37,59 @@
 from session_world import SessionWorld
 
 # Ends that a box lists in one answer.
-ENDS_LISTED = 500
+MAX_ENDS_LISTED = 500
 # What a look needs to reach a box.
-ON_THE_WAY_S = 0.003
+POLL_DELAY_S = 0.003
 
 
-def refused(whole, log):
+def read_refused(newest_read, log):
     return StoreUnavailable("503", not_applied=True)
 
 
-def no_tasks(whole, log):
+def without_tasks(newest_read, log):
     """Leave out what became of tasks and of jobs that are not forgotten yet."""
-    kept = (r for r in whole.records if r.key[:2] not in ("t/", "p/"))
-    return whole._replace(records=tuple(kept))
+    kept = (r for r in newest_read.records if r.key[:2] not in ("t/", "p/"))
+    return newest_read._replace(records=tuple(kept))
 
 
-def no_mark(whole, log):
+def without_digest(newest_read, log):
     """Leave out the mark as well."""
-    records = tuple(r for r in no_tasks(whole, log).records if r.key != DIGEST_KEY)
-    return whole._replace(records=records)
+    records = tuple(
+        r for r in without_tasks(newest_read, log).records if r.key != DIGEST_KEY
+    )
+    return newest_read._replace(records=records)
 
 
-def first_values(whole, log):
+def with_first_values(newest_read, log):
     """Show the first value of each task's record in place of the newest."""
     first = {r.key: r for r in reversed(log) if r.value and r.key.startswith("t/")}
-    records = tuple(first.get(r.key, r) for r in whole.records)
-    return whole._replace(records=records)
+    records = tuple(first.get(r.key, r) for r in newest_read.records)
+    return newest_read._replace(records=records)
 
 
-READINGS = {
-    "11 refusals, then 1 without tasks": [*[refused] * 11, no_tasks],
-    "15 without tasks": [no_tasks] * 15,
-    "3 without tasks and without the mark": [no_mark] * 3,
-    "3 with tasks as they were at first": [first_values] * 3,
+FAULTY_READS = {
+    "11 refusals, then 1 without tasks": [*[read_refused] * 11, without_tasks],
+    "15 without tasks": [without_tasks] * 15,
+    "3 without tasks and without the mark": [without_digest] * 3,
+    "3 with tasks as they were at first": [with_first_values] * 3,
 }
 
 
-class AnsweringStore(LongPollStore):
-    """Answers the readings of a successor as told; ``_readings`` is set when it begins."""
+class FaultyReadStore(LongPollStore):
+    """Answers the readings of a successor as told; ``_faulty_reads`` is set when it begins."""
 
-    _readings = ()
+    _faulty_reads = ()
 
     async def newest_page(self, topic, after, timeout_s):
         """See :meth:`LongPollStore.newest_page`."""
-        whole = await super().newest_page(topic, after, timeout_s)
-        if topic != JOBS_TOPIC or not self._readings:
-            return whole
-        first, *self._readings = self._readings
-        return first(whole, self.model.topics[topic])
+        newest_read = await super().newest_page(topic, after, timeout_s)
+        if topic != JOBS_TOPIC or not self._faulty_reads:
+            return newest_read
+        first, *self._faulty_reads = self._faulty_reads
+        return first(newest_read, self.model.topics[topic])
 
 
-class SilentStore(LongPollStore):
+class UnansweredReadStore(LongPollStore):
     """Gives no answer to readings of the jobs."""
 
     async def newest_page(self, topic, after, timeout_s):
@@ -98,7 +100,7 @@
         return StoreUnavailable("no answer")
 
 
-class LeavingStore(LongPollStore):
+class StoreLostAfterTasks(LongPollStore):
     """Takes its time for an append with tasks in it, and answers none after that."""
 
     def __init__(self, model, took_s):
@@ -142,18 +144,18 @@
 
 @given(
     "{boxes:d} boxes, and a store that answers the first readings of a successor with "
-    "{readings}"
+    "{faulty_reads}"
 )
-def answering_store(context, boxes, readings):
-    context.world = SessionWorld(AnsweringStore(StoreModel()), boxes, context.folder)
-    context.readings = READINGS[readings]
+def faulty_read_store(context, boxes, faulty_reads):
+    context.world = SessionWorld(FaultyReadStore(StoreModel()), boxes, context.folder)
+    context.faulty_reads = FAULTY_READS[faulty_reads]
 
 
 @when(
     "a decider does {jobs:d} jobs of {tasks:d} tasks one after the other, is killed, and "
     "another takes over"
 )
-def change_of_decider(context, jobs, tasks):
+def leader_replaced_after_jobs(context, jobs, tasks):
     world = context.world
 
     async def script():
@@ -161,7 +163,7 @@
         async with world.session(1) as session:
             for _ in range(jobs):
                 await world.run_job(session, tasks)
-        world.store._readings = context.readings
+        world.store._faulty_reads = context.faulty_reads
         async with world.session(2) as session:
             await anyio.sleep(1.5)
             context.states = {
@@ -176,7 +178,7 @@
     "a decider has done the first {tasks:d} tasks of a job and begun the last, is killed, "
     "and another takes over"
 )
-def killed_amid_job(context, tasks):
+def leader_replaced_during_job(context, tasks):
     world = context.world
     first = Step(count=tasks, cpu=500, memory_mb=1, estimate_ms=200)
     last = Step(count=1, cpu=500, memory_mb=1, estimate_ms=200, depends_on=(0,))
@@ -189,7 +191,7 @@
                 while len(world.boxes.runs()) <= tasks:
                     await anyio.sleep(0.005)
             await session.drain()
-        world.store._readings = context.readings
+        world.store._faulty_reads = context.faulty_reads
         async with world.session(2):
             await anyio.sleep(1.5)
 
@@ -208,21 +210,23 @@
 @when(
     "a process raises an epoch, and another raises a newer one before the first has read"
 )
-def overtaken(context):
+def newer_epoch_claimed(context):
     store = context.world.store
 
     async def script():
-        taken = await take_over(store, 1, "first")
+        epoch_claim = await take_over(store, 1, "first")
         await take_over(store, 2, "second")
-        began = time.monotonic()
-        context.outcome = await StateReader(store, taken, NodeLog(descriptor=2)).run()
-        context.took_s = time.monotonic() - began
+        started_at = time.monotonic()
+        context.outcome = await StateReader(
+            store, epoch_claim, NodeLog(descriptor=2)
+        ).run()
+        context.took_s = time.monotonic() - started_at
 
     anyio.run(script)
 
 
 @then("the first process ends its try within {seconds:g} second")
-def ends_its_try(context, seconds):
+def attempt_ends(context, seconds):
     assert not isinstance(context.outcome, NewestRecords), context.outcome
     assert context.took_s < seconds, f"{context.took_s:.2f} s: {context.outcome}"
 
@@ -231,22 +235,24 @@
     "a store that is silent to a process from when it raised an epoch, and {boxes:d} "
     "boxes"
 )
-def silent_store(context, boxes):
-    context.world = SessionWorld(SilentStore(StoreModel()), boxes, context.folder)
+def unanswered_read_store(context, boxes):
+    context.world = SessionWorld(
+        UnansweredReadStore(StoreModel()), boxes, context.folder
+    )
 
 
 @when("that process begins to decide")
-def begins_to_decide(context):
+def session_starts(context):
     world = context.world
 
     async def script():
-        taken = await take_over(world.store, 1, "life")
+        epoch_claim = await take_over(world.store, 1, "life")
         log = NodeLog(descriptor=2)
-        session = Session(world._sources, taken, PARAMETERS, log, NodeMetrics())
+        session = Session(world._sources, epoch_claim, PARAMETERS, log, NodeMetrics())
         with anyio.move_on_after(6.0):
-            context.began = time.monotonic()
+            context.started_at = time.monotonic()
             await session.run(lambda: None)
-            context.took_s = time.monotonic() - context.began
+            context.took_s = time.monotonic() - context.started_at
             return
         context.took_s = None
 
@@ -254,7 +260,7 @@
 
 
 @then("it ends its try within {seconds:g} seconds")
-def ends_soon(context, seconds):
+def session_ends(context, seconds):
     assert context.took_s is not None, "it still tries after 6 s"
     assert context.took_s < seconds, context.took_s
 
@@ -265,12 +271,12 @@
     model = context.world.boxes.models["b0"]
     poll = model.poll
 
-    def some(*args):
+    def limited_poll(*args):
         outcome = poll(*args)
         ended = getattr(outcome, "ended", ())
-        return outcome._replace(ended=ended[:ENDS_LISTED]) if ended else outcome
+        return outcome._replace(ended=ended[:MAX_ENDS_LISTED]) if ended else outcome
 
-    model.poll = some
+    model.poll = limited_poll
 
 
 @when(
@@ -296,16 +302,16 @@
     model = world.boxes.models["b0"]
     poll = world.boxes.poll
 
-    async def look_unless_first(incarnation, address, token, *rest):
+    async def poll_after_take_over(incarnation, address, token, *rest):
         # Nothing ends while the first decider starts, so that none of it is noted.
         if token == 1:
-            seen = model.poll(0, rest[1], token, time.monotonic())
+            poll_result = model.poll(0, rest[1], token, time.monotonic())
             await anyio.sleep(0.05)
-            return seen
-        await anyio.sleep(ON_THE_WAY_S)
+            return poll_result
+        await anyio.sleep(POLL_DELAY_S)
         return await poll(incarnation, address, token, *rest)
 
-    world.boxes.poll = look_unless_first
+    world.boxes.poll = poll_after_take_over
     anyio.run(script)
 
 
@@ -325,7 +331,7 @@
 
 
 @given("a box whose earlier life ended, and whose present life runs a task")
-def two_lives(context):
+def two_incarnations(context):
     scheduler = context.scheduler = Scheduler(PARAMETERS, 0.0)
     scheduler.apply_config(CONFIG)
     scheduler.fleet.update_boxes({"first": entry("first")}, 0.0)
@@ -344,13 +350,13 @@
 
 
 @when("the list of boxes shows the earlier life alone")
-def earlier_alone(context):
+def only_earlier_listed(context):
     fleet = context.scheduler.fleet
     context.decisions = fleet.update_boxes({"first": entry("first")}, 1.5)
 
 
 @then("the present life is not taken for ended")
-def still_there(context):
+def not_ended(context):
     assert StopPolling("second") not in context.decisions, context.decisions
 
 
@@ -359,7 +365,7 @@
     "{seconds:g} seconds as the answer to that is on the way, and another takes over "
     "meanwhile"
 )
-def stands_still_while_confirmed(context, waiting, tasks, seconds):
+def stalls_while_confirmed(context, waiting, tasks, seconds):
     store = context.world.store
     append = store.append
     numbers = []
@@ -399,8 +405,8 @@
     "a store that takes {seconds:g} second for an append and then is away, and "
     "{boxes:d} boxes"
 )
-def leaving_store(context, seconds, boxes):
-    store = LeavingStore(StoreModel(), seconds)
+def store_lost_after_tasks(context, seconds, boxes):
+    store = StoreLostAfterTasks(StoreModel(), seconds)
     context.world = SessionWorld(store, boxes, context.folder)
 
 
@@ -413,11 +419,11 @@
     context.paced = []
     pace = world.boxes.pace
 
-    async def noted(order, token, percent):
+    async def recorded_pace(command, token, percent):
         context.paced.append(time.monotonic())
-        return await pace(order, token, percent)
+        return await pace(command, token, percent)
 
-    world.boxes.pace = noted
+    world.boxes.pace = recorded_pace
 
     async def script():
         async with world.session(1) as session:
@@ -448,31 +454,33 @@
 
 
 @when("a job of {tasks:d} tasks is handed in")
-def handed_in(context, tasks):
+def job_submitted(context, tasks):
     context.tasks = tasks
 
 
 @then("all of them have begun within {seconds:g} seconds")
-def all_begun(context, seconds):
+def all_started(context, seconds):
     world = context.world
     start = world.boxes.start
 
-    async def on_the_way(*order):
+    async def delayed_start(*command):
         await anyio.sleep(0.02)
-        return await start(*order)
+        return await start(*command)
 
-    world.boxes.start = on_the_way
+    world.boxes.start = delayed_start
 
     async def script():
         async with world.session(1) as session:
             with anyio.move_on_after(seconds):
                 job = SubmitJob(submission(context.tasks, 100))
                 await session.call("r", job)
-                while len(begun()) < context.tasks:
+                while len(started_tasks()) < context.tasks:
                     await anyio.sleep(0.01)
 
-    def begun():
+    def started_tasks():
         return {task for task, _, _ in world.boxes.runs()}
 
     anyio.run(script)
-    assert len(begun()) == context.tasks, f"{len(begun())} of {context.tasks}"
+    assert len(started_tasks()) == context.tasks, (
+        f"{len(started_tasks())} of {context.tasks}"
+    )
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -398,7 +398,7 @@
 def lose_box(context, task):
     world = context.world
     world.cut_until[task.box] = world.now + 1000.0
-    context.dark, context.since = task.box, world.now
+    context.silent_box, context.since = task.box, world.now
     world.advance(0.5)
     del world.entries[task.box]
 
