--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -7,6 +7,10 @@
 from behave import then
 from behave import when
 
+from granitetrestle.commandwindow import BEST_EFFORT
+from granitetrestle.commandwindow import SHORT
+from granitetrestle.commandwindow import URGENT
+from granitetrestle.commandwindow import CommandWindow
 from granitetrestle.interfaces import Appended
 from granitetrestle.interfaces import Writer
 from granitetrestle.jobcalls import SubmitJob
@@ -182,3 +186,48 @@
     assert len(waits) >= 100, len(waits)
     assert waits[len(waits) // 2] <= half, waits
     assert waits[len(waits) * 99 // 100] <= maximum, waits
+
+
+@given("a command window that lets nothing pass")
+def closed_window(context):
+    class Closed(CommandWindow):
+        @property
+        def size(self):
+            return 0
+
+    context.window = Closed()
+
+
+@when("starts wait for boxes a and b, and a is closed")
+def starts_wait(context):
+    context.granted = []
+
+    async def start(kind, incarnation):
+        async with context.window.turn(kind, incarnation):
+            context.granted.append((kind, incarnation))
+
+    async def run():
+        async with anyio.create_task_group() as tasks:
+            for kind, incarnation in (
+                (SHORT, "a"),
+                (BEST_EFFORT, "a"),
+                (URGENT, "a"),
+                (SHORT, "b"),
+            ):
+                tasks.start_soon(start, kind, incarnation)
+            await anyio.wait_all_tasks_blocked()
+            assert context.granted == []
+            context.window.release_starts({"a"})
+            await anyio.wait_all_tasks_blocked()
+            context.waiting = context.window.waiting
+            tasks.cancel_scope.cancel()
+
+    anyio.run(run)
+
+
+@then("the starts for a get their turn now, stops and those for b keep waiting")
+def starts_released(context):
+    assert sorted(context.granted) == [(SHORT, "a"), (BEST_EFFORT, "a")], (
+        context.granted
+    )
+    assert context.waiting == 2
