--- a/features/lasting_task.py
+++ b/features/lasting_task.py
@@ -1,4 +1,4 @@
-"""A lasting task at work in a shard among models."""
+"""A long-running task on a shard among models."""
 
 from granitetrestle.workflows import Step
 
--- a/features/native_decider.feature
+++ b/features/native_decider.feature
@@ -1,5 +1,5 @@
 Feature: The scheduler keeps its promises as boxes crash, are cut off and answer late
-  The real scheduler of a shard in virtual time; the runs are judged at the boxes.
+  The real scheduler of a shard runs in virtual time; the runs are checked at the boxes.
 
   Scenario: The promises hold for any sequence of work and faults
     Then 60 random runs of a shard keep one place and one success for each task, the order of steps, the attempts and every job
@@ -88,56 +88,56 @@
     Then its run there is stopped, and another starts on the other box
 
   Scenario: A requeued task that turns out to be done does not break the pass
-    Given a decider with a box, and two tasks of a job, one of which waits again
+    Given a leader with a box, and two tasks of a job, one of which was requeued
     When the end of its last run is listed after all, as done
     Then the next pass starts nothing, and the job completes with the other task
 
   Scenario: A stop that is answered during a long poll is not repeated without end
     Given a task whose start got no answer, alone on its box
-    When each look waits 1.5 seconds for an end, and each stop is answered at once
+    When each poll waits 1.5 seconds for an end, and each stop is answered at once
     Then the task starts again within 4 seconds
 
   Scenario: A successor counts the leases of a box from its own first poll there
-    From then on the box rejects its predecessor's renewals, so no lease of that one can
-    start later. Counted from the take-over and the time for which a predecessor may renew
-    leases, a long-running task was away for 13.4 s with leases of 6 s, when its box was
-    lost after a take-over.
+    From that poll on the box rejects renewals by the predecessor, so no lease granted by it
+    can start later. If leases are counted from the take-over and the time for which a
+    predecessor may renew them instead, a long-running task whose box is lost after a
+    take-over runs nowhere for 13.4 s with leases of 6 s.
     Given a shard of 6 boxes among models
     When a long-running task runs, a successor takes over, and the box is cut off for good
     Then it runs on another box within 4.9 seconds, as without a take-over
 
   Scenario Outline: A box that was silent before a take-over holds its tasks for one lease
-    Its leases were counted from the take-over and the time for which a predecessor may
-    renew them, 8 s more on real boxes. A long-running task was away for 20 s, though no
-    leader had renewed them.
+    If its leases are counted from the take-over and the time for which a predecessor may
+    renew them, 8 s more on real boxes, a long-running task runs nowhere for 20 s, though
+    no leader renewed its lease.
     Given a shard of 6 boxes among models
-    When a lasting task runs, its box goes dark for good, <listed>, and a successor takes over
-    Then it runs on another box within 6.2 seconds of when it went dark
+    When a long-running task runs, its box becomes silent for good, <listed>, and a successor takes over
+    Then it runs on another box within 6.2 seconds of when its box became silent
 
     Examples:
-      | listed                |
-      | still listed          |
-      | and is listed no more |
+      | listed                  |
+      | still listed            |
+      | and is no longer listed |
 
   Scenario Outline: The record of a withdrawn lease is deleted once its box ends or answers
     Given a shard of 6 boxes among models
-    When a lasting task runs, its box goes dark for good, and is listed no more, and a successor takes over
+    When a long-running task runs, its box becomes silent for good, and is no longer listed, and a successor takes over
     And <what happens>
-    Then 10 seconds later nothing is written of its leases
+    Then 10 seconds later the store holds no record of its leases
 
     Examples:
       | what happens              |
       | nothing else happens      |
-      | the box is back after all |
+      | the box is reachable again |
 
   Scenario: The leases of a box that answers again are renewed once a successor would know
     Given a shard of 6 boxes among models
-    When a lasting task runs, and its box is cut off and back while the store is away
-    And a successor takes over that does not reach the box, and the older one still does
+    When a long-running task runs, and its box is cut off and back while the store is down
+    And a successor takes over that does not reach the box, and the old leader still does
     Then no task ever ran on two boxes
 
   Scenario Outline: Promises hold when leaders continue without the store, seed <seed>
-    When random work and faults run on a shard whose deciders are parted from seed <seed>
+    When random work and faults run on a shard whose leaders lose the store from seed <seed>
     Then no promise was broken
 
     Examples:
@@ -147,8 +147,8 @@
       | 3    |
 
   Scenario Outline: No start exceeds the room of a box, seed <seed>
-    The room shrank while starts were delayed because the store was unavailable, and the
-    starts were sent all the same (246, 281, 726).
+    With seeds 246, 281 and 726 the room shrinks while starts are delayed because the store
+    is unavailable; the starts must then not be sent.
     When random work and faults run on a shard whose boxes shrink and grow from seed <seed>
     Then no promise was broken
 
@@ -160,9 +160,9 @@
       | 3    |
 
   Scenario Outline: Promises hold when leaders are suspended, seed <seed>
-    Decisions are fenced, so that a leader that resumes and does not know that time has
-    passed does no harm: in 600 random runs none broke a promise.
-    When random work and faults run on a shard whose deciders are suspended from seed <seed>
+    Commands are fenced by the epoch, so a leader that resumes and does not know that time
+    has passed does no harm.
+    When random work and faults run on a shard whose leaders are suspended from seed <seed>
     Then no promise was broken
 
     Examples:
@@ -172,8 +172,8 @@
       | 3    |
 
   Scenario: A lasting task whose box is lost together with the decider runs elsewhere soon
-    A successor waits for the leases of 6 s that its predecessor may have gone on renewing
-    for 8 s.
+    A successor waits for the leases of 6 s, which its predecessor may have renewed for 8 s
+    more.
     Given a shard of 3 boxes among models
-    When a lasting task runs, and its box and the decider are lost at once, where leases last 6 s
-    Then it runs on another box within 6 seconds of when it went dark
+    When a long-running task runs, and its box and the leader are lost at once, where leases last 6 s
+    Then it runs on another box within 6 seconds of when its box became silent
--- a/features/native_evacuation.feature
+++ b/features/native_evacuation.feature
@@ -1,6 +1,6 @@
 Feature: An evacuated data hall gets no starts until it is restored
-  Operators write a directive to the store. Tasks that run in the hall go on, tasks that must run
-  again start elsewhere, and every leader reads the directive before its first start.
+  Operators write a directive to the store. Tasks that run in the hall continue, tasks that must
+  run again start elsewhere, and every leader reads the directive before its first start.
 
   Scenario: Nothing starts in an evacuated hall, and tasks that run there go on
     Given a shard of 2 halls with 2 boxes each
@@ -23,7 +23,7 @@
     And jobs wait while the leader is killed and replaced
     Then tasks of new jobs start in h2 alone
 
-  Scenario: A hall whose record is gone is in use again after the history is read anew
+  Scenario: A hall whose record was deleted is used again after all records are read again
     Given a shard of 2 halls with 2 boxes each
     When hall h1 is evacuated
     And it is restored while the leader reads nothing and the history is dropped
--- a/features/native_machines.py
+++ b/features/native_machines.py
@@ -1,4 +1,4 @@
-"""Hypothesis state machine over the real decider among model boxes (shardworld)."""
+"""Hypothesis state machine over the real scheduler among model boxes (shardworld)."""
 
 import hypothesis.strategies as st
 from hypothesis import settings
@@ -81,7 +81,7 @@
 
     @rule(steps=STEPS, choice=CHOICE, unanswered=st.booleans())
     def submit_crashing(self, steps, choice, unanswered):
-        """Hand in a job with a task that crashes each box that starts it."""
+        """Submit a job with a task that crashes each box that starts it."""
         job = self.world.submit(steps)
         self.jobs.append(job)
         step = choice % len(steps)
--- a/features/native_parts.feature
+++ b/features/native_parts.feature
@@ -1,4 +1,4 @@
-Feature: Single parts of the process on the platform
+Feature: Components of a process on the platform
 
   Scenario: An append without an answer is repeated under its sequence number
     Given a journal on a store that loses 2 answers
@@ -28,21 +28,21 @@
     Then the journal has ended, and its effect was never released
 
   Scenario: A restarted process does not take itself for the leader
-    Given a process that the store names as the last decider
-    Then it takes over by itself instead of waiting for itself
+    Given a process that the store names as the last leader
+    Then it takes over instead of waiting for a report of its own
 
   Scenario: A silent leader is replaced by the first of its successors
-    Given two successors of a decider that fell silent
-    Then the first is due at once and the second only after it had its chance
+    Given two successors of a leader that became silent
+    Then the first is due at once and the second only after the first had time to take over
 
   Scenario: A successor that is taking over is given time
-    Given two successors of a decider that fell silent
-    When the first of them says that it is taking over
-    Then the second waits for it, but not for ever
+    Given two successors of a leader that became silent
+    When the first of them reports that it is taking over
+    Then the second waits for it, but not indefinitely
 
   Scenario: A process without any connection counts as isolated
-    Given two successors of a decider that fell silent
-    When the first of them hears nobody any more
+    Given two successors of a leader that became silent
+    When the first of them gets no more reports
     Then it counts as isolated
 
   Scenario: Two candidates never share an epoch
@@ -103,25 +103,25 @@
     Then all thirty arrive, and never more than 4 at once
 
   Scenario: A new leader is not replaced because its predecessor lost the store
-    Given a process cut off with a decider that has lost the store
-    When it hears from others of a newer decider
+    Given a process cut off with a leader that has lost the store
+    When another process reports a newer leader
     Then it does not take over from that one at once
 
   Scenario: A process in the minority partition asks the store before it takes over
-    Given a process that hears 3 of 9 others, and no decider
-    Then it asks the store whether a decider is at work
-    Given a process that hears 4 of 9 others, and no decider
+    Given a process with reports of 3 of 9 others, and of no leader
+    Then it asks the store whether a leader is active
+    Given a process with reports of 4 of 9 others, and of no leader
     Then it takes over without asking
 
   Scenario: A partition that has just healed is no reason to take over
-    Given a process that hears 3 of 9 others, and no decider
-    Then it asks the store whether a decider is at work
-    When all others are heard again, the decider last
-    Then it still asks the store, for a while
+    Given a process with reports of 3 of 9 others, and of no leader
+    Then it asks the store whether a leader is active
+    When all others report again, the leader last
+    Then it still asks the store for a while
 
   Scenario: A leader on a small machine hands over to a process on a much larger one
-    Given a decider of half a core that hears a ready process of two cores
-    Then it hands over once it has decided calmly for a while, and not before
+    Given a leader of half a core that gets reports of a ready process of two cores
+    Then it hands over once it has led for a while without a change, and not before
 
   Scenario: A request to a leader that has just handed over goes to its successor
     Given a session that has ended
@@ -137,21 +137,21 @@
       | was sent and is not answered | 504    |
 
   Scenario: A leader that stops right after the start names a successor
-    Given a decider whose peers have not said yet that they are ready
-    Then it still names one of them as its heir
+    Given a leader whose peers have not reported yet that they are ready
+    Then it still names one of them as its successor
 
   Scenario: A leader that stops before any message of a peer names a successor
-    Given a decider that knows its peers from the store alone
-    Then it names the first of them as its heir
+    Given a leader that knows its peers from the store alone
+    Then it names the first of them as its successor
 
   Scenario: A forwarded request that exceeds its deadline does not end the leader
-    Given a decider whose answers take 0.5 seconds
+    Given a leader whose answers take 0.5 seconds
     When a request with 0.05 seconds left is forwarded to it, and then one with 2 seconds
-    Then the second is answered, and nothing was said of the first
+    Then the second is answered, and no answer to the first is sent
 
   Scenario: A process to which others forward requests as it starts does start
     Guards against the former leader ending with an AttributeError as it starts after a
     power loss of all machines: the others still take it for the leader, and forward it
     clients' requests before it has its task group.
     When a process starts to which others forward requests already
-    Then it is at work, and leaves it to the others whom they ask next
+    Then it is registered, and sends the others no answer
--- a/features/native_policy.feature
+++ b/features/native_policy.feature
@@ -1,4 +1,4 @@
-Feature: How the scheduler shares room between kinds of tasks
+Feature: The scheduler divides capacity between serving, short and best-effort tasks
 
   Scenario: Long-running tasks leave headroom for short tasks
     Given four boxes of 64 cores, full of long-running tasks except for the headroom
@@ -13,7 +13,7 @@
     When no short job is submitted for 0.6 seconds
     Then waiting long-running tasks have taken all room
 
-  Scenario: Headroom that short tasks use only for moments is not kept for ever
+  Scenario: Headroom that short tasks use only briefly is not kept indefinitely
     Given four boxes of 64 cores, full of long-running tasks except for the headroom
     When short tasks use the headroom for half a second after a second
     Then waiting long-running tasks have started within 0.8 seconds more
@@ -68,10 +68,10 @@
     Guards against a long-running task without room elsewhere waiting for the end of the
     quarantine, which doubles up to 16 s: it waited 24 s in all, for a box without a
     failure in the last 11 s.
-    Given a lasting task that has room only on a box where every run fails
-    When the box fails what it starts for <seconds> seconds
-    Then meanwhile it was tried there at most once every 2 seconds, and no short job was
-    And the lasting task runs there for good within 4 seconds more
+    Given a long-running task that has room only on a box where every run fails
+    When every run on the box fails for <seconds> seconds
+    Then meanwhile it was started there at most once every 2 seconds, and no short job was
+    And the long-running task stays placed there within 4 seconds more
 
     Examples:
       | seconds |
@@ -81,16 +81,16 @@
       | 30      |
 
   Scenario Outline: The log says why long-running tasks wait while they wait
-    Given four boxes of 64 cores, where lasting work waits for <reason>
+    Given four boxes of 64 cores, where long-running tasks wait for <reason>
     When 5 seconds pass in which nothing frees room
-    Then every 2 seconds from 3 on it is told that it waits for <cause>
+    Then every 2 seconds from 3 on the log gives the cause of the wait as <cause>
 
     Examples:
       | reason                          | cause     |
       | processor time                  | cpu       |
       | memory                          | memory    |
-      | boxes that fail what they start | put_aside |
+      | quarantined boxes | put_aside |
       | evacuated data halls            | evacuated |
       | the lease of a silent box       | lease     |
       | a box that a predecessor used   | lease     |
-      | operators' orders not known     | unreached |
+      | operators' directives not read     | unreached |
--- a/features/random_shard.py
+++ b/features/random_shard.py
@@ -1,7 +1,13 @@
-"""Seeded random work and faults over the real decider among model boxes, with tasks that
-crash each box that starts them. By hand: ``python features/random_shard.py FIRST LAST``
-plays seeds (after ``rooms``, ``suspended``, ``parted`` or ``restarts`` boxes also shrink and grow, machines are suspended, deciders go on without the store, or boxes that crash keep their ids and do so extra often), ``python features/random_shard.py innocent FIRST LAST`` counts jobs that are
-given up though they did nothing wrong."""
+"""Seeded random work and faults for the real scheduler among model boxes, with tasks
+that crash each box that starts them.
+
+``python features/random_shard.py FIRST LAST`` runs these seeds. A word before them adds
+events: with ``rooms`` boxes also shrink and grow, with ``suspended`` machines of
+leaders are suspended, with ``parted`` leaders continue without the store, and with
+``restarts`` boxes crash more often and keep their ids.
+
+``python features/random_shard.py innocent FIRST LAST`` counts the jobs that are given
+up though none of their tasks crashes boxes."""
 
 import random
 import sys
@@ -12,14 +18,14 @@
 from granitetrestle_standins.shardworld import ShardWorld
 from native_machines import STEPS
 
-# As often as they stand here; "bad" hands in work that crashes boxes.
+# An event is as likely as it is repeated here; "bad" submits a job that crashes boxes.
 EVENTS = [
     *("submit", "submit", "cancel", "wait", "wait", "wait"),
     *("kill", "depose", "freeze", "thaw", "crash", "crash", "cut"),
     *("disturb", "hall", "forget", "store", "bad", "bad"),
 ]
-# Boxes that shrink and grow; that start again under their ids; machines of deciders that are suspended; deciders that go on
-# without the store, each reaching some boxes.
+# Boxes shrink and grow (rooms), machines of leaders are suspended, boxes restart under
+# their ids, and leaders continue without the store, each reaching some boxes (parted).
 EXTRA_EVENTS = {
     "rooms": (*["room"] * 4, *["submit"] * 3),
     "suspended": (*["suspend"] * 4, *["wake"] * 3, *["submit"] * 3),
@@ -32,10 +38,9 @@
 
 
 class RandomShard:
-    """One seed: sixty things that happen, and then everything settles.
+    """One seed: sixty random events, and then time until all jobs have ended.
 
-    :param more: what else happens than the kinds above, by its name in ``EXTRA_EVENTS``; each as
-        often as it stands there.
+    :param extra: a key of ``EXTRA_EVENTS``, whose events are added to ``EVENTS``.
     """
 
     def __init__(self, seed, extra=""):
@@ -51,7 +56,7 @@
         for _ in range(60):
             self._run_event(self._draw.choice(self._events))
         for number, entry in enumerate(sorted(self.world.entries)):
-            # Nothing waits for room in the end.
+            # In the end all tasks must have room.
             if self.world.entries[entry].cpu < FULL_CPU:
                 self.world.resize_box(number, FULL_CPU)
         self.world.settle(300.0)
@@ -108,7 +113,7 @@
             world.resize_box(draw.randrange(100), draw.choice((0, 1000, 2500, 4000)))
 
     def _partition(self):
-        """Let a decider lose the store and some boxes, and a successor the others."""
+        """Cut a leader from the store and some boxes, and a successor from the others."""
         draw, world = self._draw, self.world
         incarnations = sorted(world.entries)
         lost = set(draw.sample(incarnations, draw.randint(0, len(incarnations))))
@@ -131,8 +136,10 @@
 
 
 def crashes_among_others(seed, culprits=6):
-    """Play 40 busy seconds of 12 boxes; returns how many boxes crashed under each of the
-    tasks that do that, how many other jobs were given up, and how many there were."""
+    """Run 12 busy boxes for 40 s, with tasks that crash the boxes that start them.
+
+    :returns: how many boxes each of these tasks crashed, how many other jobs were given
+        up, and how many other jobs there were."""
     world = ShardWorld(seed, 12)
     step = Step(count=4, cpu=500, memory_mb=10)
     long_running = Step(count=4, cpu=500, memory_mb=10, long_running=True)
--- a/features/restarted_box.feature
+++ b/features/restarted_box.feature
@@ -93,23 +93,23 @@
       | -1      | rejected, naming b               |
 
   Scenario: A successor requeues at once the tasks that its predecessor placed on an earlier incarnation
-    Otherwise they wait until no lease of the predecessor can be valid, as long as for a box that
-    is gone.
-    Given a decider that placed a task on the life b@1 of box b, alone in its list
-    When box b starts again as b@2, another decides, and b@2 answers its first look
+    Otherwise they wait until no lease of the predecessor can be valid, as long as for a
+    lost box.
+    Given a leader that placed a task on the incarnation b@1 of box b, alone in its list
+    When box b starts again as b@2, a successor takes over, and b@2 answers its first poll
     Then at once the task is started on b@2, as run 2
 
   Scenario: An incarnation that only an outdated list shows takes no tasks from the one that answers
-    Given a decider that placed a task on the life b@2 of box b, alone in its list
-    When another decides, whose list shows b@1 still, and another life answers there
+    Given a leader that placed a task on the incarnation b@2 of box b, alone in its list
+    When a successor takes over, whose list still shows b@1, and another incarnation answers
     Then the task waits
     When b@2 is listed, answers, and runs it
     Then the task runs on b@2, as run 1
 
   Scenario Outline: Records that name a box by its id are about the incarnation that is listed
     Versions that didn't distinguish incarnations wrote such records, and their tasks continue.
-    Given a decider that placed a task on the life b of box b, alone in its list
-    When another decides, whose list shows b@2, and that one <shows> at its first look
+    Given a leader that placed a task on the incarnation b of box b, alone in its list
+    When a successor takes over, whose list shows b@2, which <shows> at its first poll
     Then the task <goes on> on b@2, as run <run>
 
     Examples:
@@ -118,14 +118,14 @@
       | lists nothing         | is started | 2   |
 
   Scenario: The next incarnation of a box ends the earlier one, even at another address
-    Given a decider that placed a task on the life b@1 of box b, alone in its list
+    Given a leader that placed a task on the incarnation b@1 of box b, alone in its list
     When the list shows b@2 in its place, at another address
-    Then the life b@1 is over, and its task waits
+    Then the incarnation b@1 has ended, and its task waits
 
   Scenario: Advice is requested for box ids, and its tickets are for incarnations
     Given an advice service that names box b with the ticket "t", and box x
-    When it is asked about the lives b@1 and c@2
-    Then it was asked about b and c, and the life b@1 alone has a ticket, "t"
+    When it is asked about the incarnations b@1 and c@2
+    Then it was asked about b and c, and only the incarnation b@1 has a ticket, "t"
 
   Scenario Outline: Random work and faults on boxes that restart under their ids, seed <seed>
     When boxes crash often and keep their ids on a shard from seed <seed>
--- a/features/steps/answering_steps.py
+++ b/features/steps/answering_steps.py
@@ -57,19 +57,21 @@
         anyio.run(script)
 
 
-@given("a process whose decider takes requests and answers none")
+@given("a process whose leader receives requests and answers none")
 def process(context):
     context.process = ForwardingProcess()
 
 
-@when("{count:d} clients come, one each {every:g} seconds, with {left:g} seconds each")
+@when(
+    "{count:d} clients arrive, one each {every:g} seconds, with {left:g} seconds each"
+)
 def clients_come(context, count, every, left):
     context.process.send_requests(count, every, left)
 
 
 @then(
-    "those of the first {span:g} seconds end in doubt at most, the others are refused "
-    "at once"
+    "only those of the first {span:g} seconds get an unknown outcome, the others are "
+    "refused at once"
 )
 def refused_at_once(context, span):
     later = [row for row in context.process.outcomes if row[0] > span]
@@ -81,8 +83,8 @@
 
 
 @then(
-    "they are told to come back after 1, 2 or 3 seconds, and {rate:d} a second are "
-    "still tried"
+    "they are told to retry after 1, 2 or 3 seconds, and {rate:d} a second are still "
+    "forwarded"
 )
 def retry_delays_and_rate(context, rate):
     outcomes = context.process.outcomes
@@ -106,20 +108,20 @@
     assert statuses == {OUTCOME_UNKNOWN}, statuses
 
 
-@when("the decider answers again")
+@when("the leader answers again")
 def answers_again(context):
     context.process.answers = True
     # The first probe request that is answered lifts the refusal.
     context.process.send_requests(8, 0.1, 3.0)
 
 
-@when("another decider is known that answers")
+@when("another leader is known that answers")
 def another_leader(context):
     context.process.target = Target("another", 2)
     context.process.answers = True
 
 
-@then("every client that comes is answered within 1 second")
+@then("every client that arrives is answered within 1 second")
 def all_answered_soon(context):
     context.process.send_requests(10, 0.05, 3.0)
     for _, duration_s, answer in context.process.outcomes:
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -361,7 +361,7 @@
 
 
 @when(
-    "random work and faults run on a shard whose deciders are suspended from seed "
+    "random work and faults run on a shard whose leaders are suspended from seed "
     "{seed:d}"
 )
 def random_suspended(context, seed):
@@ -370,7 +370,8 @@
 
 
 @when(
-    "random work and faults run on a shard whose deciders are parted from seed {seed:d}"
+    "random work and faults run on a shard whose leaders lose the store from seed "
+    "{seed:d}"
 )
 def random_parted(context, seed):
     context.shard = RandomShard(seed, "parted")
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -468,7 +468,7 @@
     assert [type(decision) for decision in context.given] == [LogEvent, StopTask]
 
 
-@when("each look waits {wait:g} seconds for an end, and each stop is answered at once")
+@when("each poll waits {wait:g} seconds for an end, and each stop is answered at once")
 def polls_wait(context, wait):
     halls, scheduler = context.halls, context.halls.scheduler
     task = scheduler.state.workflows["00bb"].tasks[(0, 0, 0)]
--- a/features/steps/forwarded_steps.py
+++ b/features/steps/forwarded_steps.py
@@ -75,7 +75,7 @@
     return Node(parameters, sources, context.responder, peers, log, NodeMetrics())
 
 
-@given("a decider whose answers take {seconds:g} seconds")
+@given("a leader whose answers take {seconds:g} seconds")
 def slow_leader(context, seconds):
     context.responder = SlowResponder(seconds)
 
@@ -101,7 +101,7 @@
     anyio.run(script)
 
 
-@then("the second is answered, and nothing was said of the first")
+@then("the second is answered, and no answer to the first is sent")
 def second_answered(context):
     answers = [(node, message.number) for node, message in context.peers.sent]
     assert answers == [("n2", 2)], answers
@@ -122,7 +122,7 @@
     anyio.run(script)
 
 
-@then("it is at work, and leaves it to the others whom they ask next")
+@then("it is registered, and sends the others no answer")
 def at_work(context):
     assert "n1" in context.known.nodes, context.known
     assert context.peers.sent == [], context.peers.sent
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -73,15 +73,15 @@
 REASONS = {
     "processor time": wait_for_processors,
     "memory": wait_for_memory,
-    "boxes that fail what they start": wait_for_quarantine,
+    "quarantined boxes": wait_for_quarantine,
     "evacuated data halls": wait_for_hall,
     "the lease of a silent box": wait_for_lease,
     "a box that a predecessor used": wait_for_predecessor,
-    "operators' orders not known": wait_for_operators,
+    "operators' directives not read": wait_for_operators,
 }
 
 
-@given("four boxes of 64 cores, where lasting work waits for {reason}")
+@given("four boxes of 64 cores, where long-running tasks wait for {reason}")
 def long_running_tasks_wait(context, reason):
     context.harness = SchedulerHarness(4, OFF)
     REASONS[reason](context.harness)
@@ -93,7 +93,7 @@
     context.harness.wait(seconds)
 
 
-@then("every 2 seconds from 3 on it is told that it waits for {cause}")
+@then("every 2 seconds from 3 on the log gives the cause of the wait as {cause}")
 def cause_reported(context, cause):
     log_events = [
         log_event
@@ -180,7 +180,7 @@
     assert context.box.open_for_work(now + seconds + 0.2)
 
 
-@given("a lasting task that has room only on a box where every run fails")
+@given("a long-running task that has room only on a box where every run fails")
 def only_failing_box(context):
     context.failing = FailingBox()
     context.failing.submit_short(6)
@@ -190,7 +190,7 @@
     assert not context.box.open_for_work(context.failing.harness.now)
 
 
-@when("the box fails what it starts for {seconds:g} seconds")
+@when("every run on the box fails for {seconds:g} seconds")
 def fails_for(context, seconds):
     failing = context.failing
     failing.submit_short(40)
@@ -206,14 +206,16 @@
     failing.fails = False
 
 
-@then("meanwhile it was tried there at most once every 2 seconds, and no short job was")
+@then(
+    "meanwhile it was started there at most once every 2 seconds, and no short job was"
+)
 def tried_seldom(context):
     assert not any(short for short, _ in context.quarantined_steps)
     tried = sum(long_running for _, long_running in context.quarantined_steps)
     assert tried <= len(context.quarantined_steps) * 0.1 / 2.0 + 1, tried
 
 
-@then("the lasting task runs there for good within {seconds:g} seconds more")
+@then("the long-running task stays placed there within {seconds:g} seconds more")
 def runs_for_good(context, seconds):
     failing = context.failing
     (task,) = failing.long_running.tasks.values()
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -1,4 +1,4 @@
-"""Steps for refused clients and for late work."""
+"""Steps for refused clients and for late best-effort jobs."""
 
 import heapq
 import itertools
@@ -45,14 +45,12 @@
     return 100.0 * len(waits) / CLIENT_COUNT, sum(waits) / len(waits)
 
 
-@given("clients that come during an outage of {seconds:g} seconds")
+@given("clients that arrive during an outage of {seconds:g} seconds")
 def outage(context, seconds):
     context.outage = seconds
 
 
-@when(
-    "each is told when to come back as shipped, and as with steady_returns switched off"
-)
+@when("each is told when to retry, as shipped and with steady_returns switched off")
 def retry_both_ways(context):
     context.shipped = simulate_outage(SteadyRetries(), context.outage)
     context.baseline = simulate_outage(FollowingOutage(), context.outage)
--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios about take-overs, decided from the reports of processes."""
+"""Steps of the scenarios about take-overs, which depend on the reports of processes."""
 
 from behave import given
 from behave import then
@@ -16,20 +16,20 @@
     )
 
 
-@given("a process that the store names as the last decider")
+@given("a process that the store names as the last leader")
 def named_by_store(context):
     context.leadership = Leadership("n1", 0.0, 0.5)
     context.leadership.record_leader(7 << 24, "n1", 0.1)
 
 
-@then("it takes over by itself instead of waiting for itself")
+@then("it takes over instead of waiting for a report of its own")
 def takes_over(context):
     assert context.leadership.leader == ""
     assert context.leadership.is_take_over_due(0.5)
     assert context.leadership.epoch == 7 << 24
 
 
-@given("two successors of a decider that fell silent")
+@given("two successors of a leader that became silent")
 def two_successors(context):
     context.successors = []
     for node, other in (("n2", "n3"), ("n3", "n2")):
@@ -39,7 +39,9 @@
         context.successors.append(leadership)
 
 
-@then("the first is due at once and the second only after it had its chance")
+@then(
+    "the first is due at once and the second only after the first had time to take over"
+)
 def first_due(context):
     first, second = context.successors
     assert not first.is_take_over_due(10.5)
@@ -48,7 +50,7 @@
     assert second.is_take_over_due(11.3)
 
 
-@when("the first of them says that it is taking over")
+@when("the first of them reports that it is taking over")
 def reports_taking_over(context):
     context.second = context.successors[1]
     for tick in range(20):
@@ -57,14 +59,14 @@
         )
 
 
-@then("the second waits for it, but not for ever")
+@then("the second waits for it, but not indefinitely")
 def waits_for_it(context):
     assert not context.second.is_take_over_due(11.6)
     assert not context.second.is_take_over_due(13.0)
     assert context.second.is_take_over_due(15.5)
 
 
-@when("the first of them hears nobody any more")
+@when("the first of them gets no more reports")
 def loses_all_peers(context):
     assert not context.successors[0].is_isolated(10.9)
     context.now = 13.0
@@ -75,7 +77,7 @@
     assert context.successors[0].is_isolated(context.now)
 
 
-@given("a process cut off with a decider that has lost the store")
+@given("a process cut off with a leader that has lost the store")
 def cut_off_with_leader(context):
     leadership = context.leadership = Leadership("n3", 0.0, 0.5)
     lost = status("n1", 5, "n1", ("n3",))
@@ -83,7 +85,7 @@
         leadership.record_report(replace(lost, store_ok=False), 10.0 + tick * 0.2)
 
 
-@when("it hears from others of a newer decider")
+@when("another process reports a newer leader")
 def newer_leader_reported(context):
     context.leadership.record_report(status("n2", 6, "n9"), 15.9)
 
@@ -95,7 +97,7 @@
     assert not context.leadership.is_take_over_due(16.5)
 
 
-@given("a process that hears {reporting:d} of {known:d} others, and no decider")
+@given("a process with reports of {reporting:d} of {known:d} others, and of no leader")
 def some_report(context, reporting, known):
     leadership = context.leadership = Leadership("n0", 0.0, 0.0)
     for number in range(1, known + 1):
@@ -106,7 +108,7 @@
     assert leadership.is_take_over_due(12.0)
 
 
-@then("it asks the store whether a decider is at work")
+@then("it asks the store whether a leader is active")
 def asks_store(context):
     assert context.leadership.lacks_stable_majority(12.0)
 
@@ -116,7 +118,7 @@
     assert not context.leadership.lacks_stable_majority(12.0)
 
 
-@when("all others are heard again, the decider last")
+@when("all others report again, the leader last")
 def all_report_again(context):
     for tick in range(6):
         for number in range(1, 9):
@@ -125,14 +127,14 @@
             )
 
 
-@then("it still asks the store, for a while")
+@then("it still asks the store for a while")
 def still_asks_store(context):
     assert context.leadership.lacks_stable_majority(12.5)
     assert context.leadership.lacks_stable_majority(13.9)
     assert not context.leadership.lacks_stable_majority(14.1)
 
 
-@given("a decider of half a core that hears a ready process of two cores")
+@given("a leader of half a core that gets reports of a ready process of two cores")
 def small_leader(context):
     leadership = context.leadership = Leadership("n0", 0.0, 0.0)
     leadership.record_take_over(5, 10.0)
@@ -142,7 +144,7 @@
         )
 
 
-@then("it hands over once it has decided calmly for a while, and not before")
+@then("it hands over once it has led for a while without a change, and not before")
 def hands_over(context):
     better = context.leadership.handover_target
     assert better(12.0, 0.5) == ""
@@ -159,7 +161,7 @@
     assert min(epochs) > last
 
 
-@given("a decider whose peers have not said yet that they are ready")
+@given("a leader whose peers have not reported yet that they are ready")
 def peers_not_ready(context):
     context.leadership = Leadership("n0", 0.0, 0.0)
     for node in ("n1", "n2"):
@@ -168,11 +170,11 @@
         )
 
 
-@then("it still names one of them as its heir")
+@then("it still names one of them as its successor")
 def names_successor(context):
     assert context.leadership.best_successor(1.2) == "n1"
     context.leadership.record_report(status("n2", 5, "n0"), 1.3)
     assert context.leadership.best_successor(1.4) == "n2", (
         "the one that is ready goes first"
     )
-    assert context.leadership.best_successor(9.0) == "", "no peer is heard any more"
+    assert context.leadership.best_successor(9.0) == "", "no peer reports any more"
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -8,8 +8,8 @@
 
 
 @when(
-    "a lasting task runs, its box goes dark for good, {listed},"
-    " and a successor takes over"
+    "a long-running task runs, its box becomes silent for good, {listed}, and a "
+    "successor takes over"
 )
 def silent_before_take_over(context, listed):
     world = context.world
@@ -25,8 +25,8 @@
 
 
 @when(
-    "a lasting task runs, and its box and the decider are lost at once, where leases "
-    "last 6 s"
+    "a long-running task runs, and its box and the leader are lost at once, where "
+    "leases last 6 s"
 )
 def lost_together(context):
     world = context.world
@@ -40,7 +40,7 @@
     world.take_over()
 
 
-@then("it runs on another box within {seconds:g} seconds of when it went dark")
+@then("it runs on another box within {seconds:g} seconds of when its box became silent")
 def runs_on_another(context, seconds):
     world = context.world
     others = [
@@ -54,7 +54,9 @@
     assert took_s <= seconds, took_s
 
 
-@when("a lasting task runs, and its box is cut off and back while the store is away")
+@when(
+    "a long-running task runs, and its box is cut off and back while the store is down"
+)
 def box_returns_without_store(context):
     world = context.world
     context.task = lasting_task(context)
@@ -66,7 +68,7 @@
 
 
 @when(
-    "a successor takes over that does not reach the box, and the older one still does"
+    "a successor takes over that does not reach the box, and the old leader still does"
 )
 def both_leaders_renew(context):
     world = context.world
@@ -94,14 +96,14 @@
     assert lease_records(context) == [f"l/{context.silent_box}"]
 
 
-@when("the box is back after all")
+@when("the box is reachable again")
 def back_after_all(context):
     assert lease_records(context) == [f"l/{context.silent_box}"]
     context.world.entries[context.silent_box] = context.entry
     del context.world.cut_until[context.silent_box]
 
 
-@then("{seconds:g} seconds later nothing is written of its leases")
+@then("{seconds:g} seconds later the store holds no record of its leases")
 def no_lease_records(context, seconds):
     context.world.advance(seconds)
     assert lease_records(context) == []
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios about commands that are sent late."""
+"""Steps of the scenarios about commands that wait to be sent."""
 
 import time
 
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -63,7 +63,8 @@
 
 
 @given(
-    "a decider that placed a task on the life {incarnation} of box b, alone in its list"
+    "a leader that placed a task on the incarnation {incarnation} of box b, alone in "
+    "its list"
 )
 def placed(context, incarnation):
     scheduler = new_scheduler(0.0)
@@ -95,13 +96,18 @@
 RUNS_IT = PollResult(100, (RunningTask(TASK, 1, "", 10, 0.0),), ())
 
 
-@when("box b starts again as b@2, another decides, and b@2 answers its first look")
+@when(
+    "box b starts again as b@2, a successor takes over, and b@2 answers its first poll"
+)
 def starts_again(context):
     takes_over(context, "b@2")
     poll_box(context, "b@2", NOTHING, 1.1)
 
 
-@when("another decides, whose list shows b@1 still, and another life answers there")
+@when(
+    "a successor takes over, whose list still shows b@1, and another incarnation "
+    "answers"
+)
 def older_list(context):
     takes_over(context, "b@1")
     poll_box(context, "b@1", BoxReplaced(), 1.1)
@@ -113,7 +119,7 @@
     poll_box(context, "b@2", RUNS_IT, 1.3)
 
 
-@when("another decides, whose list shows b@2, and that one {shows} at its first look")
+@when("a successor takes over, whose list shows b@2, which {shows} at its first poll")
 def shows(context, shows):
     takes_over(context, "b@2")
     poll_box(context, "b@2", RUNS_IT if shows == "runs it" else NOTHING, 1.1)
@@ -150,7 +156,7 @@
     context.effects = context.scheduler.fleet.update_boxes({"b@2": moved}, 0.4)
 
 
-@then("the life b@1 is over, and its task waits")
+@then("the incarnation b@1 has ended, and its task waits")
 def over(context):
     over = [d.subject for d in context.effects if getattr(d, "event", "") == "box_over"]
     assert over == ["b@1"], context.effects
@@ -178,14 +184,15 @@
     context.service = AdviceService([[box, ticket], [other, "y"]])
 
 
-@when("it is asked about the lives {first} and {second}")
+@when("it is asked about the incarnations {first} and {second}")
 def asked_about(context, first, second):
     advisor = PlatformAdvisor("address", context.service)
     context.advice = anyio.run(advisor.advise, "job.0.0", (first, second))
 
 
 @then(
-    'it was asked about b and c, and the life {incarnation} alone has a ticket, "{ticket}"'
+    "it was asked about b and c, and only the incarnation {incarnation} has a ticket, "
+    '"{ticket}"'
 )
 def has_ticket(context, incarnation, ticket):
     assert context.service.asked == ["b", "c"], context.service.asked
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over what a review found to be taken for granted."""
+"""Steps of the scenarios on what a leader verifies before it relies on it."""
 
 import collections
 import time
@@ -36,9 +36,9 @@
 from session_world import LongPollStore
 from session_world import SessionWorld
 
-# Ends that a box lists in one answer.
+# The most ends that a box lists in one answer.
 MAX_ENDS_LISTED = 500
-# What a look needs to reach a box.
+# Delay of a poll on its way to a box.
 POLL_DELAY_S = 0.003
 
 
@@ -47,13 +47,13 @@
 
 
 def without_tasks(newest_read, log):
-    """Leave out what became of tasks and of jobs that are not forgotten yet."""
+    """Leave out the records of tasks, and of the progress of jobs."""
     kept = (r for r in newest_read.records if r.key[:2] not in ("t/", "p/"))
     return newest_read._replace(records=tuple(kept))
 
 
 def without_digest(newest_read, log):
-    """Leave out the mark as well."""
+    """Leave out the state digest as well."""
     records = tuple(
         r for r in without_tasks(newest_read, log).records if r.key != DIGEST_KEY
     )
@@ -70,13 +70,13 @@
 FAULTY_READS = {
     "11 refusals, then 1 without tasks": [*[read_refused] * 11, without_tasks],
     "15 without tasks": [without_tasks] * 15,
-    "3 without tasks and without the mark": [without_digest] * 3,
+    "3 without tasks and without the digest": [without_digest] * 3,
     "3 with tasks as they were at first": [with_first_values] * 3,
 }
 
 
 class FaultyReadStore(LongPollStore):
-    """Answers the readings of a successor as told; ``_faulty_reads`` is set when it begins."""
+    """Answers the first reads of a successor with the faults in ``_faulty_reads``."""
 
     _faulty_reads = ()
 
@@ -90,7 +90,7 @@
 
 
 class UnansweredReadStore(LongPollStore):
-    """Gives no answer to readings of the jobs."""
+    """Gives no answer to reads of the jobs."""
 
     async def newest_page(self, topic, after, timeout_s):
         """See :meth:`LongPollStore.newest_page`."""
@@ -101,7 +101,7 @@
 
 
 class StoreLostAfterTasks(LongPollStore):
-    """Takes its time for an append with tasks in it, and answers none after that."""
+    """Delays the first append with tasks in it, and answers none after that."""
 
     def __init__(self, model, took_s):
         super().__init__(model)
@@ -124,7 +124,7 @@
 
 
 class SlowStore(LongPollStore):
-    """Takes its time for each append of a decider."""
+    """Delays each append of a leader."""
 
     def __init__(self, model, took_s):
         super().__init__(model)
@@ -143,7 +143,7 @@
 
 
 @given(
-    "{boxes:d} boxes, and a store that answers the first readings of a successor with "
+    "{boxes:d} boxes, and a store that answers the first reads of a successor with "
     "{faulty_reads}"
 )
 def faulty_read_store(context, boxes, faulty_reads):
@@ -152,14 +152,14 @@
 
 
 @when(
-    "a decider does {jobs:d} jobs of {tasks:d} tasks one after the other, is killed, and "
-    "another takes over"
+    "a leader runs {jobs:d} jobs of {tasks:d} tasks one after the other, is killed, "
+    "and another takes over"
 )
 def leader_replaced_after_jobs(context, jobs, tasks):
     world = context.world
 
     async def script():
-        # Less time than passes until the details of ended jobs are forgotten.
+        # Shorter than the time for which the details of ended jobs are kept.
         async with world.session(1) as session:
             for _ in range(jobs):
                 await world.run_job(session, tasks)
@@ -175,8 +175,8 @@
 
 
 @when(
-    "a decider has done the first {tasks:d} tasks of a job and begun the last, is killed, "
-    "and another takes over"
+    "a leader has completed the first {tasks:d} tasks of a job and started the last, "
+    "is killed, and another takes over"
 )
 def leader_replaced_during_job(context, tasks):
     world = context.world
@@ -208,7 +208,8 @@
 
 
 @when(
-    "a process raises an epoch, and another raises a newer one before the first has read"
+    "a process claims an epoch, and another claims a newer one before the first "
+    "has read"
 )
 def newer_epoch_claimed(context):
     store = context.world.store
@@ -225,15 +226,15 @@
     anyio.run(script)
 
 
-@then("the first process ends its try within {seconds:g} second")
+@then("the first process ends its attempt within {seconds:g} second")
 def attempt_ends(context, seconds):
     assert not isinstance(context.outcome, NewestRecords), context.outcome
     assert context.took_s < seconds, f"{context.took_s:.2f} s: {context.outcome}"
 
 
 @given(
-    "a store that is silent to a process from when it raised an epoch, and {boxes:d} "
-    "boxes"
+    "a store that does not answer a process from when it claimed an epoch, and "
+    "{boxes:d} boxes"
 )
 def unanswered_read_store(context, boxes):
     context.world = SessionWorld(
@@ -241,7 +242,7 @@
     )
 
 
-@when("that process begins to decide")
+@when("that process starts to lead")
 def session_starts(context):
     world = context.world
 
@@ -259,9 +260,9 @@
     anyio.run(script)
 
 
-@then("it ends its try within {seconds:g} seconds")
+@then("it ends its attempt within {seconds:g} seconds")
 def session_ends(context, seconds):
-    assert context.took_s is not None, "it still tries after 6 s"
+    assert context.took_s is not None, "its attempt has not ended after 6 s"
     assert context.took_s < seconds, context.took_s
 
 
@@ -280,7 +281,7 @@
 
 
 @when(
-    "a decider starts {tasks:d} short tasks there and is killed, and another takes over"
+    "a leader starts {tasks:d} short tasks there and is killed, and another takes over"
 )
 def killed_after_starts(context, tasks):
     world = context.world
@@ -292,7 +293,7 @@
             with anyio.fail_after(15.0):
                 while len(world.boxes.runs()) < tasks:
                     await anyio.sleep(0.005)
-        # All end before the successor looks.
+        # All end before the successor's first poll.
         await anyio.sleep(0.7)
         async with world.session(2) as session:
             with anyio.fail_after(15.0):
@@ -303,7 +304,7 @@
     poll = world.boxes.poll
 
     async def poll_after_take_over(incarnation, address, token, *rest):
-        # Nothing ends while the first decider starts, so that none of it is noted.
+        # The first leader sees no ends, so that it records none.
         if token == 1:
             poll_result = model.poll(0, rest[1], token, time.monotonic())
             await anyio.sleep(0.05)
@@ -330,7 +331,7 @@
     )
 
 
-@given("a box whose earlier life ended, and whose present life runs a task")
+@given("a box whose earlier incarnation ended, and whose present one runs a task")
 def two_incarnations(context):
     scheduler = context.scheduler = Scheduler(PARAMETERS, 0.0)
     scheduler.apply_config(CONFIG)
@@ -349,20 +350,20 @@
     )
 
 
-@when("the list of boxes shows the earlier life alone")
+@when("the list of boxes shows only the earlier incarnation")
 def only_earlier_listed(context):
     fleet = context.scheduler.fleet
     context.decisions = fleet.update_boxes({"first": entry("first")}, 1.5)
 
 
-@then("the present life is not taken for ended")
+@then("the present incarnation does not count as ended")
 def not_ended(context):
     assert StopPolling("second") not in context.decisions, context.decisions
 
 
 @when(
-    "{waiting:d} of its {tasks:d} starts wait to be confirmed anew, it stands still for "
-    "{seconds:g} seconds as the answer to that is on the way, and another takes over "
+    "{waiting:d} of its {tasks:d} starts wait for a new confirmation, it stalls for "
+    "{seconds:g} seconds while the answer to that is in flight, and another takes over "
     "meanwhile"
 )
 def stalls_while_confirmed(context, waiting, tasks, seconds):
@@ -377,7 +378,7 @@
         if writer.sequence not in numbers:
             numbers.append(writer.sequence)
         if writer.sequence == numbers[0]:
-            # Until the first starts are answered, and the others have their turn.
+            # Until the first starts are answered and the others are next to be sent.
             await anyio.sleep(0.5)
         elif context.since is None:
             record = EpochClaim.record(2, "another")
@@ -402,8 +403,8 @@
 
 
 @given(
-    "a store that takes {seconds:g} second for an append and then is away, and "
-    "{boxes:d} boxes"
+    "a store that takes {seconds:g} second for an append and then becomes unavailable, "
+    "and {boxes:d} boxes"
 )
 def store_lost_after_tasks(context, seconds, boxes):
     store = StoreLostAfterTasks(StoreModel(), seconds)
@@ -411,8 +412,8 @@
 
 
 @when(
-    "{tasks:d} starts for a box wait as others follow a newer epoch, and a task there is "
-    "to be slowed down"
+    "{tasks:d} starts for a box wait because others follow a newer epoch, and a task "
+    "there is to be slowed down"
 )
 def pace_meanwhile(context, tasks):
     world = context.world
@@ -431,7 +432,7 @@
                 group.start_soon(session.call, "r", SubmitJob(submission(tasks, 100)))
                 await anyio.sleep(0.3)
                 session.observe_epoch(2)
-            # The starts' record is confirmed, and the right to send them is not.
+            # The starts' record is confirmed, and the leader lease is not.
             await anyio.sleep(1.0)
             context.asked = time.monotonic()
             session._apply([PaceTask("b0", "1".rjust(16, "0") + ".0.0.0", 1, 50)])
@@ -440,10 +441,10 @@
     anyio.run(script)
 
 
-@then("the order reaches the box within {seconds:g} seconds")
+@then("the command reaches the box within {seconds:g} seconds")
 def reaches_box(context, seconds):
     assert not context.world.boxes.runs(), "the starts did not wait"
-    assert context.paced, "it has not come after 1.5 s"
+    assert context.paced, "the command has not arrived after 1.5 s"
     assert context.paced[0] - context.asked < seconds, context.paced
 
 
@@ -453,12 +454,12 @@
     context.world = SessionWorld(store, boxes, context.folder)
 
 
-@when("a job of {tasks:d} tasks is handed in")
+@when("a job of {tasks:d} tasks is submitted")
 def job_submitted(context, tasks):
     context.tasks = tasks
 
 
-@then("all of them have begun within {seconds:g} seconds")
+@then("all of them have started within {seconds:g} seconds")
 def all_started(context, seconds):
     world = context.world
     start = world.boxes.start
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -393,7 +393,7 @@
     assert context.more <= count, context.more
 
 
-@given("a decider with a box, and two tasks of a job, one of which waits again")
+@given("a leader with a box, and two tasks of a job, one of which was requeued")
 def waits_again(context):
     harness = context.harness = SchedulerHarness(1)
     workflow = harness.submit("job", Step(count=2, cpu=1000, memory_mb=10))
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -421,7 +421,7 @@
     assert median_s <= seconds, median_s
 
 
-@given("a decider that knows its peers from the store alone")
+@given("a leader that knows its peers from the store alone")
 def peers_from_store(context):
     leadership = context.leadership = Leadership("n2", 0.0, 0.0)
     leadership.add_known_node("n1")
@@ -429,7 +429,7 @@
     leadership.record_take_over(5, 10.0)
 
 
-@then("it names the first of them as its heir")
+@then("it names the first of them as its successor")
 def names_first(context):
     assert context.leadership.best_successor(10.2) == "n1"
 
