--- a/features/native_machines.py
+++ b/features/native_machines.py
@@ -108,7 +108,7 @@
 
     @rule()
     def forget_directives(self):
-        self.world.store.forget(HALLS_TOPIC)
+        self.world.store.drop_history(HALLS_TOPIC)
 
     @rule(down=st.booleans())
     def store(self, down):
--- a/features/random_shard.py
+++ b/features/random_shard.py
@@ -93,7 +93,7 @@
             send_directive = world.evacuate if draw.random() < 0.5 else world.restore
             send_directive(draw.choice(["h1", "h2"]))
         elif event == "forget":
-            world.store.forget(HALLS_TOPIC)
+            world.store.drop_history(HALLS_TOPIC)
         elif event == "store":
             world.store_down = draw.random() < 0.5
         elif event == "bad":
--- a/features/steps/box_standin_steps.py
+++ b/features/steps/box_standin_steps.py
@@ -15,7 +15,7 @@
 from granitetrestle_standins.boxprofiles import PLAIN_BOX
 from granitetrestle_standins.boxprofiles import BoxProfile
 from granitetrestle_standins.boxprofiles import EndsTold
-from granitetrestle_standins.boxprofiles import Room
+from granitetrestle_standins.boxprofiles import Resources
 from granitetrestle_standins.boxserver import BoxServer
 from granitetrestle_standins.nativebox import BoxModel
 
@@ -23,9 +23,9 @@
     hold_max_s=4.0,
     clock_rate=0.98,
     clock_origin_s=5000.0,
-    longest_stop_s=0.9,
-    room=Room(8000, 8000),
-    looks_again=False,
+    max_stop_s=0.9,
+    resources=Resources(8000, 8000),
+    rechecks_long_polls=False,
 )
 SPEC = "60000:1000:100"
 SMALL_SPEC = "60000:10:10"
@@ -34,8 +34,8 @@
 EPOCH = 7
 
 
-def new_box(born=100.0):
-    return BoxModel("b", profile=PROFILE, draw=random.Random(1), born=born)
+def new_box(started_s=100.0):
+    return BoxModel("b", profile=PROFILE, draw=random.Random(1), started_s=started_s)
 
 
 def until_ms(box, now, seconds):
@@ -43,7 +43,7 @@
 
     :param seconds: duration of the lease.
     """
-    return box.lists(now).clock_ms + int(seconds * 1000)
+    return box.list_runs(now).clock_ms + int(seconds * 1000)
 
 
 @given("box b after {count:d} runs that ended")
@@ -125,7 +125,7 @@
     box.end(TASK, "done", ended)
     assert box.end_counts(box.history[-1])
     box.tick(noted)
-    (row,) = box.lists(noted).ended
+    (row,) = box.list_runs(noted).ended
     box.poll(row.number, None, EPOCH, noted)
 
 
@@ -148,8 +148,8 @@
 
 @then("its clock shows {first:d} ms at {at:g} and {second:d} ms at {later:g}")
 def clock_shows(context, first, at, second, later):
-    assert context.box.lists(at).clock_ms == first
-    assert context.box.lists(later).clock_ms == second
+    assert context.box.list_runs(at).clock_ms == first
+    assert context.box.list_runs(later).clock_ms == second
 
 
 @when("at {at:g} that run is stopped")
@@ -232,7 +232,7 @@
 @given("a served box that checks the epoch of long polls {when}")
 def served(context, when):
     again = when == "throughout"
-    context.served = ServedBox(PLAIN_BOX._replace(looks_again=again))
+    context.served = ServedBox(PLAIN_BOX._replace(rechecks_long_polls=again))
 
 
 @when("a newer epoch polls while a long poll of an older one waits")
@@ -354,7 +354,7 @@
 @given('box b that applies an acknowledged number to "{what}"')
 def box_with_ends_rule(context, what):
     profile = PROFILE._replace(ends_told=EndsTold(what))
-    context.box = BoxModel("b", profile=profile, draw=random.Random(1), born=100.0)
+    context.box = BoxModel("b", profile=profile, draw=random.Random(1), started_s=100.0)
 
 
 @when(
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -144,7 +144,7 @@
     world = context.world
     world.leader.without_directives = True
     world.restore("h1")
-    world.store.forget("keyed.halls")
+    world.store.drop_history("keyed.halls")
     world.advance(0.2)
     world.leader.without_directives = False
     world.advance(0.1)
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -279,7 +279,7 @@
     # One more step writes the end; the poll that would acknowledge it comes after that.
     world.advance(0.05)
     (box,) = world.boxes.values()
-    assert [row.how for row in box.unconfirmed()] == ["failed"], box.unconfirmed()
+    assert [row.how for row in box.unacknowledged()] == ["failed"], box.unacknowledged()
     world.task_failure_share = 0.0
     world.kill()
     world.take_over()
--- a/src/granitetrestle_standins/boxprofiles.py
+++ b/src/granitetrestle_standins/boxprofiles.py
@@ -10,18 +10,18 @@
     "PLAIN_BOX",
     "BoxProfile",
     "EndsTold",
-    "Room",
+    "Resources",
     "TaskSpec",
-    "drawn_profile",
+    "draw_profile",
     "parse_spec",
 ]
 
 # The page's bound on how slow a box's steady clock runs.
-SLOWEST_CLOCK: t.Final = 0.98
+MIN_CLOCK_RATE: t.Final = 0.98
 # Clocks begin anywhere; the longest is some days, in seconds.
-LATEST_ORIGIN_S: t.Final = 500_000.0
+MAX_CLOCK_ORIGIN_S: t.Final = 500_000.0
 # Under the page's bound for a stop, which the program is not told; in seconds.
-LONGEST_STOP_S: t.Final = 0.9
+MAX_STOP_S: t.Final = 0.9
 
 
 class EndsTold(enum.Enum):
@@ -35,7 +35,7 @@
     ITS_OWN_NUMBERS = "its own numbers"
 
 
-class Room(t.NamedTuple):
+class Resources(t.NamedTuple):
     """What there is of a box, or what a task takes.
 
     :param cpu: thousandths of a core.
@@ -52,7 +52,7 @@
     """
 
     run_ms: int
-    room: Room
+    resources: Resources
 
 
 class BoxProfile(t.NamedTuple):
@@ -71,32 +71,34 @@
     hold_max_s: float = 10.0
     clock_rate: float = 1.0
     clock_origin_s: float = 0.0
-    longest_stop_s: float = 0.0
-    room: Room | None = None
-    looks_again: bool = True
+    max_stop_s: float = 0.0
+    resources: Resources | None = None
+    rechecks_long_polls: bool = True
     ends_told: EndsTold = EndsTold.THOSE_IT_HAS
 
 
 PLAIN_BOX: t.Final = BoxProfile()
 
 
-def drawn_profile(draw: random.Random, hold_max_s: float, room: Room) -> BoxProfile:
+def draw_profile(
+    draw: random.Random, hold_max_s: float, resources: Resources
+) -> BoxProfile:
     """Return a profile within what the page allows."""
     # What was drawn before a box could start again under its id stays the same.
     state = draw.getstate()[1]
-    more = random.Random(f"{state[0]} {state[-1]}")
+    ends_draw = random.Random(f"{state[0]} {state[-1]}")
     return BoxProfile(
         hold_max_s=hold_max_s,
-        clock_rate=draw.uniform(SLOWEST_CLOCK, 1.0),
-        clock_origin_s=draw.uniform(0.0, LATEST_ORIGIN_S),
-        longest_stop_s=LONGEST_STOP_S,
-        room=room,
-        looks_again=draw.random() < 0.5,
-        ends_told=more.choice(list(EndsTold)),
+        clock_rate=draw.uniform(MIN_CLOCK_RATE, 1.0),
+        clock_origin_s=draw.uniform(0.0, MAX_CLOCK_ORIGIN_S),
+        max_stop_s=MAX_STOP_S,
+        resources=resources,
+        rechecks_long_polls=draw.random() < 0.5,
+        ends_told=ends_draw.choice(list(EndsTold)),
     )
 
 
 def parse_spec(text: str) -> TaskSpec:
     """Read ``MS`` or ``MS:CPU:MEM_MB``; without room a task takes none."""
-    run_ms, *room = (int(part) for part in text.split(":"))
-    return TaskSpec(run_ms, Room(*room) if room else Room(0, 0))
+    run_ms, *resources = (int(part) for part in text.split(":"))
+    return TaskSpec(run_ms, Resources(*resources) if resources else Resources(0, 0))
--- a/src/granitetrestle_standins/boxserver.py
+++ b/src/granitetrestle_standins/boxserver.py
@@ -88,9 +88,9 @@
         return self._incarnations[-1]
 
     def _begin(self) -> None:
-        born_ms = time.time_ns() // 1_000_000
-        incarnation = f"{self.box_id}@{born_ms}"
-        parts = (None, self._profile, self._draw, self._born(), born_ms)
+        started_ms = time.time_ns() // 1_000_000
+        incarnation = f"{self.box_id}@{started_ms}"
+        parts = (None, self._profile, self._draw, self._born(), started_ms)
         self._incarnations.append(BoxModel(incarnation, *parts))
 
     def _begin_again(self, now: float) -> None:
@@ -194,8 +194,8 @@
                 return _poll_reply(model, poll)
             await asyncio.sleep(TICK_S)
             now = time.monotonic()
-            again = self._profile.looks_again
-            poll = _poll(model, body, now) if again else model.lists(now)
+            again = self._profile.rechecks_long_polls
+            poll = _poll(model, body, now) if again else model.list_runs(now)
         return _order_reply(poll)
 
 
@@ -233,7 +233,7 @@
     running = [[r.task, r.run, r.checkpoint, r.percent] for r in poll.running]
     ended = [[r.number, r.task, r.run, r.how, r.checkpoint] for r in poll.ended]
     answer = {
-        "born": model.born_ms,
+        "born": model.started_ms,
         "clock_ms": poll.clock_ms,
         "running": running,
         "finished": ended,
--- a/src/granitetrestle_standins/nativebox.py
+++ b/src/granitetrestle_standins/nativebox.py
@@ -25,7 +25,7 @@
 __all__ = ["BoxModel", "BoxRun"]
 
 # The page's bound; the lowest numbers come first.
-ENDS_AT_A_TIME: t.Final = 500
+MAX_LISTED_ENDS: t.Final = 500
 
 
 class BoxRun:
@@ -80,43 +80,43 @@
         hold_max_s: float | None = None,
         profile: BoxProfile = PLAIN_BOX,
         draw: random.Random | None = None,
-        born: float = 0.0,
-        born_ms: int | None = None,
+        started_s: float = 0.0,
+        started_ms: int | None = None,
     ) -> None:
         self.incarnation = incarnation
-        self.born_ms = born_ms
+        self.started_ms = started_ms
         self.alive = True
         self.running: dict[str, BoxRun] = {}
         self.history: list[BoxRun] = []
-        self.confirmed = 0
+        self.acknowledged_end = 0
         self.profile = profile
         self._hold_max_s = profile.hold_max_s if hold_max_s is None else hold_max_s
         self._draw = draw or random.Random(0)
-        self._born = born
-        self._token = 0
+        self._started_s = started_s
+        self._highest_token = 0
         # By its own clock.
-        self._lease_ends = 0.0
+        self._lease_end_s = 0.0
         self._leased = False
-        self._highest: dict[str, int] = {}
+        self._highest_runs: dict[str, int] = {}
         self._ended: list[EndedRun] = []
-        self._by_number: dict[int, BoxRun] = {}
+        self._runs_by_end: dict[int, BoxRun] = {}
         self.lapses: list[float] = []
         self._refused: list[RefusedStart] = []
         self._epochs: list[EpochChange] = []
-        self._numbers = itertools.count(1)
-        self._newest = 0
+        self._end_numbers = itertools.count(1)
+        self._newest_end = 0
 
     def _clock(self, now: float) -> float:
-        passed = now - self._born
+        passed = now - self._started_s
         return self.profile.clock_origin_s + self.profile.clock_rate * passed
 
     def _clock_ms(self, now: float) -> int:
         return int(self._clock(now) * 1000)
 
     def _fenced(self, token: int, now: float) -> bool:
-        if token < self._token:
+        if token < self._highest_token:
             return True
-        self._token = token
+        self._highest_token = token
         if not self._epochs or self._epochs[-1].epoch != token:
             self._epochs.append(EpochChange(self.incarnation, now, token))
         return False
@@ -124,14 +124,14 @@
     def _renew(self, lease_ends_ms: int | None, now: float) -> None:
         if lease_ends_ms is not None:
             latest = min(lease_ends_ms / 1000.0, self._clock(now) + self._hold_max_s)
-            self._lease_ends = max(self._lease_ends, latest)
+            self._lease_end_s = max(self._lease_end_s, latest)
 
     def tick(self, now: float) -> None:
         """End what was stopped, and everything once its lease is over."""
         for run in list(self.running.values()):
             if run.stop_ends is not None and now >= run.stop_ends:
                 self.end(run.task, "stopped", now)
-        if self._clock(now) <= self._lease_ends:
+        if self._clock(now) <= self._lease_end_s:
             self._leased = True
         elif self._leased:
             self._leased = False
@@ -158,7 +158,7 @@
         self.tick(now)
         clock = self._clock_ms(now)
         if self._fenced(token, now):
-            refused = self._refusal(task, run, spec, lease_ends_ms, now)
+            refused = self._refusal_reason(task, run, spec, lease_ends_ms, now)
             self._refused.append(
                 RefusedStart(
                     self.incarnation,
@@ -166,7 +166,7 @@
                     task,
                     run,
                     token,
-                    self._token,
+                    self._highest_token,
                     refused is None,
                 )
             )
@@ -175,7 +175,7 @@
         current = self.running.get(task)
         if current is not None and current.run == run:
             return CommandAccepted(clock)
-        reason = self._refusal(task, run, spec, lease_ends_ms, now)
+        reason = self._refusal_reason(task, run, spec, lease_ends_ms, now)
         if reason is not None:
             return CommandRejected(reason, clock)
         began = BoxRun(task, run, spec, now, token, arrived, held_up)
@@ -183,11 +183,11 @@
         self.history.append(began)
         return CommandAccepted(clock)
 
-    def _refusal(
+    def _refusal_reason(
         self, task: str, run: int, spec: str, lease_ends_ms: int, now: float
     ) -> str | None:
         """Return why a start is refused, epochs apart; ``None`` if it is taken."""
-        if task in self.running or run <= self._highest.get(task, 0):
+        if task in self.running or run <= self._highest_runs.get(task, 0):
             return "old"
         if lease_ends_ms <= self._clock_ms(now):
             return "late"
@@ -195,13 +195,16 @@
 
     def _fits(self, spec: str) -> bool:
         """Say whether there is room; what is being stopped still takes its own."""
-        room = self.profile.room
-        if room is None:
+        resources = self.profile.resources
+        if resources is None:
             return True
-        needs = [parse_spec(run.spec).room for run in self.running.values()]
-        needs.append(parse_spec(spec).room)
+        needs = [parse_spec(run.spec).resources for run in self.running.values()]
+        needs.append(parse_spec(spec).resources)
         cpu = sum(need.cpu for need in needs)
-        return cpu <= room.cpu and sum(need.mem_mb for need in needs) <= room.mem_mb
+        return (
+            cpu <= resources.cpu
+            and sum(need.mem_mb for need in needs) <= resources.mem_mb
+        )
 
     def stop(
         self, task: str, run: int, token: int, now: float
@@ -211,12 +214,10 @@
         clock = self._clock_ms(now)
         if self._fenced(token, now):
             return CommandRejected("fence", clock)
-        self._highest[task] = max(run, self._highest.get(task, 0))
+        self._highest_runs[task] = max(run, self._highest_runs.get(task, 0))
         current = self.running.get(task)
         if current is not None and current.run <= run and current.stop_ends is None:
-            current.stop_ends = now + self._draw.uniform(
-                0.0, self.profile.longest_stop_s
-            )
+            current.stop_ends = now + self._draw.uniform(0.0, self.profile.max_stop_s)
             self.tick(now)
         return CommandAccepted(clock)
 
@@ -233,48 +234,51 @@
         return CommandAccepted(clock)
 
     def poll(
-        self, known: int, lease_ends_ms: int | None, token: int, now: float
+        self, acknowledged_end: int, lease_ends_ms: int | None, token: int, now: float
     ) -> PollResult | CommandRejected:
         """Confirm ends, renew the lease, list what runs and what ended."""
         self.tick(now)
         if self._fenced(token, now):
             return CommandRejected("fence", self._clock_ms(now))
-        self._told(known, now)
+        self._acknowledge(acknowledged_end, now)
         self._renew(lease_ends_ms, now)
-        return self.lists(now)
+        return self.list_runs(now)
 
-    def _told(self, known: int, now: float) -> None:
+    def _acknowledge(self, acknowledged_end: int, now: float) -> None:
         """Take up to which number ends are known. They count as noted, whether or not it
         lists them further."""
-        self.confirmed = max(self.confirmed, known)
-        for number, run in self._by_number.items():
-            if number <= known and run.noted is None:
+        self.acknowledged_end = max(self.acknowledged_end, acknowledged_end)
+        for number, run in self._runs_by_end.items():
+            if number <= acknowledged_end and run.noted is None:
                 run.noted = now
-        told = self.profile.ends_told
-        if told is EndsTold.ITS_OWN_NUMBERS and known > self._newest:
+        ends_told = self.profile.ends_told
+        if (
+            ends_told is EndsTold.ITS_OWN_NUMBERS
+            and acknowledged_end > self._newest_end
+        ):
             return
-        if told is EndsTold.LATER_ONES_TOO:
-            known = self.confirmed
-        self._ended = [row for row in self._ended if row.number > known]
+        if ends_told is EndsTold.LATER_ONES_TOO:
+            acknowledged_end = self.acknowledged_end
+        self._ended = [row for row in self._ended if row.number > acknowledged_end]
 
-    def lists(self, now: float) -> PollResult:
+    def list_runs(self, now: float) -> PollResult:
         """Return what runs and what ended, as an answer to a look that waited has it."""
         running = tuple(
             RunningTask(run.task, run.run, "", 0, 0.0) for run in self.running.values()
         )
-        listed = tuple(self._ended[:ENDS_AT_A_TIME])
-        more = len(listed) >= ENDS_AT_A_TIME
+        listed = tuple(self._ended[:MAX_LISTED_ENDS])
+        more = len(listed) >= MAX_LISTED_ENDS
         return PollResult(self._clock_ms(now), running, listed, more)
 
     def end(self, task: str, how: str, now: float) -> None:
         """Let a run end."""
         run = self.running.pop(task)
         run.ended, run.how = now, how
-        self._highest[task] = max(run.run, self._highest.get(task, 0))
-        number = self._newest = next(self._numbers)
-        self._by_number[number] = run
+        self._highest_runs[task] = max(run.run, self._highest_runs.get(task, 0))
+        number = self._newest_end = next(self._end_numbers)
+        self._runs_by_end[number] = run
         later_too = self.profile.ends_told is EndsTold.LATER_ONES_TOO
-        if not (later_too and number <= self.confirmed):
+        if not (later_too and number <= self.acknowledged_end):
             self._ended.append(EndedRun(number, task, run.run, how, ""))
 
     def crash(self, now: float) -> None:
@@ -284,7 +288,7 @@
             run.ended, run.how = now, "crashed"
         self.running.clear()
 
-    def unconfirmed(self) -> t.Sequence[EndedRun]:
+    def unacknowledged(self) -> t.Sequence[EndedRun]:
         """Return ends that were not confirmed yet."""
         return tuple(self._ended)
 
--- a/src/granitetrestle_standins/nativeplatform.py
+++ b/src/granitetrestle_standins/nativeplatform.py
@@ -21,8 +21,8 @@
 from granitetrestle_standins.boxprofiles import PLAIN_BOX
 from granitetrestle_standins.boxprofiles import BoxProfile
 from granitetrestle_standins.boxprofiles import EndsTold
-from granitetrestle_standins.boxprofiles import Room
-from granitetrestle_standins.boxprofiles import drawn_profile
+from granitetrestle_standins.boxprofiles import Resources
+from granitetrestle_standins.boxprofiles import draw_profile
 from granitetrestle_standins.boxserver import BoxServer
 from granitetrestle_standins.boxserver import Reply
 from granitetrestle_standins.boxserver import json_reply
@@ -51,7 +51,7 @@
 # The longest lease of a drawn box, as the settings of the processes have it, and the
 # room of every box.
 HOLD_MAX_S = 4.0
-ROOM = Room(8000, 8000)
+ROOM = Resources(8000, 8000)
 DRAWN = "drawn"
 # Boxes' test hooks are called at the store's address, ``/test/box/N/HOOK`` for box N: the
 # box itself may be down.
@@ -118,7 +118,7 @@
             self._until = time.monotonic() + float(query["s"])
             return json_reply(200, {})
         if path == "/test/forget":
-            self.model.forget("keyed.op")
+            self.model.drop_history("keyed.op")
             return json_reply(200, {})
         if time.monotonic() < self._until:
             if self._how == "silent":
@@ -237,7 +237,7 @@
     def _list(self, port: int, hall: str, box: BoxServer, before: str) -> None:
         """Enter a box as it is in the list, and drop its id before, if it had another."""
         entry = {
-            "born": box.model.born_ms,
+            "born": box.model.started_ms,
             "service": "pool",
             "address": f"{self._ip}:{port}",
             "zone": hall,
@@ -296,7 +296,7 @@
     name: str, told: EndsTold, boxes: int, draw: random.Random
 ) -> list[BoxProfile]:
     if name == DRAWN:
-        return [drawn_profile(draw, HOLD_MAX_S, ROOM) for _ in range(boxes)]
+        return [draw_profile(draw, HOLD_MAX_S, ROOM) for _ in range(boxes)]
     return [PLAIN_BOX._replace(ends_told=told)] * boxes
 
 
--- a/src/granitetrestle_standins/nativestore.py
+++ b/src/granitetrestle_standins/nativestore.py
@@ -23,7 +23,7 @@
 
 __all__ = ["MemoryStore", "OutOfSequence", "Page", "StoreModel"]
 
-ANSWERS_KEPT = 5
+MAX_KEPT_ANSWERS = 5
 
 
 class OutOfSequence(t.NamedTuple):
@@ -44,7 +44,7 @@
     end: int
 
 
-class _LateAppend(t.NamedTuple):
+class _DelayedAppend(t.NamedTuple):
     """An append that will be done at ``at`` if its condition holds then."""
 
     at: float
@@ -53,7 +53,7 @@
     writer: Writer | None
 
 
-class _Writing:
+class _WriterState:
     """What a topic remembers of the newest epoch that wrote to it."""
 
     def __init__(self) -> None:
@@ -75,11 +75,11 @@
         self.reading = reading
         self.topics: dict[str, list[Record]] = {}
         self.first_kept: dict[str, int] = {}
-        self._writing: dict[str, _Writing] = {}
+        self._writers: dict[str, _WriterState] = {}
         self._draw = draw or random.Random(0)
         # Where each topic ended when its first page was last asked for.
-        self._listed_from: dict[str, int] = {}
-        self._late: list[_LateAppend] = []
+        self._first_page_ends: dict[str, int] = {}
+        self._delayed: list[_DelayedAppend] = []
 
     def end(self, topic: str) -> int:
         """Return the offset after the last record."""
@@ -93,22 +93,22 @@
         if writer is None:
             log.extend(records)
             return Appended(len(log))
-        writing = self._writing.setdefault(topic, _Writing())
-        if writer.epoch < writing.epoch:
+        state = self._writers.setdefault(topic, _WriterState())
+        if writer.epoch < state.epoch:
             return Fenced()
-        if writer.epoch > writing.epoch:
-            writing.epoch, writing.last = writer.epoch, None
-            writing.answers.clear()
-        if writer.sequence in writing.answers:
-            return Appended(writing.answers[writer.sequence])
-        if writing.last is not None and writer.sequence != writing.last + 1:
-            return OutOfSequence(writing.last + 1)
+        if writer.epoch > state.epoch:
+            state.epoch, state.last = writer.epoch, None
+            state.answers.clear()
+        if writer.sequence in state.answers:
+            return Appended(state.answers[writer.sequence])
+        if state.last is not None and writer.sequence != state.last + 1:
+            return OutOfSequence(state.last + 1)
         log.extend(records)
         if records or self.reading.empty is EmptyAppend.TAKES_NUMBER:
-            writing.last = writer.sequence
-            writing.answers[writer.sequence] = len(log)
-            while len(writing.answers) > ANSWERS_KEPT:
-                del writing.answers[min(writing.answers)]
+            state.last = writer.sequence
+            state.answers[writer.sequence] = len(log)
+            while len(state.answers) > MAX_KEPT_ANSWERS:
+                del state.answers[min(state.answers)]
         return Appended(len(log))
 
     def append_later(
@@ -119,14 +119,14 @@
         writer: Writer | None,
     ) -> None:
         """Let an append that gets no answer be done at ``at`` (s), if it can be then."""
-        self._late.append(_LateAppend(at, topic, tuple(records), writer))
+        self._delayed.append(_DelayedAppend(at, topic, tuple(records), writer))
 
     def tick(self, now: float) -> None:
         """Do the late appends that are due."""
-        due = [late for late in self._late if late.at <= now]
-        self._late = [late for late in self._late if late.at > now]
-        for late in sorted(due, key=lambda late: late.at):
-            self.append(late.topic, late.records, late.writer)
+        due = [delayed for delayed in self._delayed if delayed.at <= now]
+        self._delayed = [delayed for delayed in self._delayed if delayed.at > now]
+        for delayed in sorted(due, key=lambda delayed: delayed.at):
+            self.append(delayed.topic, delayed.records, delayed.writer)
 
     def newest(self, topic: str) -> NewestRecords:
         """Return the newest record of each key that was not dropped."""
@@ -139,7 +139,7 @@
         end = self.end(topic)
         kept = self._kept(topic, end)
         if not after:
-            self._listed_from[topic] = end
+            self._first_page_ends[topic] = end
         elif self.reading.pages is Pages.OLD_OR_NEW:
             kept = self._old_or_new(kept, topic)
         records = sorted(
@@ -157,7 +157,7 @@
 
     def _old_or_new(self, new: t.Mapping[str, Record], topic: str) -> dict[str, Record]:
         """Return each key as it is now, or as it was at the first page."""
-        old = self._kept(topic, self._listed_from.get(topic, 0))
+        old = self._kept(topic, self._first_page_ends.get(topic, 0))
         mixed = {}
         for key, record in new.items():
             before = old.get(key, Record(key, None))
@@ -171,7 +171,7 @@
         log = self.topics.setdefault(topic, [])
         return Records(tuple(log[start:]), len(log))
 
-    def forget(self, topic: str) -> None:
+    def drop_history(self, topic: str) -> None:
         """Drop the history; the newest of each key stay."""
         self.first_kept[topic] = self.end(topic)
 
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -313,7 +313,7 @@
         box = self.boxes[incarnation]
         if not box.alive:
             return self._answer_of_ended(incarnation)
-        for row in box.unconfirmed():
+        for row in box.unacknowledged():
             if row.number <= acknowledged_end:
                 self._record_acknowledged(box, row)
         return box.poll(acknowledged_end, lease_ends_ms, sender.epoch, self.now)
