--- a/src/granitetrestle_standins/boxcrashes.py
+++ b/src/granitetrestle_standins/boxcrashes.py
@@ -1,4 +1,4 @@
-"""Crashes of model boxes that are caused by tasks. It counts the crashes of each task and
+"""Crashes of model boxes that are caused by tasks. Counts the crashes of each task and
 checks that a crashing task is not started too often. A crashed box stays listed for a
 while, and another incarnation answers at its address some time later."""
 
@@ -9,8 +9,9 @@
 CRASH_DELAY_S = 0.04
 UNLIST_DELAY_S = 1.5
 RESTART_DELAY_S = 1.0
-# Once a task has crashed CRASH_THRESHOLD boxes, only MAX_STARTS_AFTER_THRESHOLD more starts
-# may follow; after GIVE_UP_CRASH_THRESHOLD crashes its job may fail.
+# Once a task has crashed CRASH_THRESHOLD boxes, it may be started only
+# MAX_STARTS_AFTER_THRESHOLD more times; after GIVE_UP_CRASH_THRESHOLD crashes its job
+# may fail.
 CRASH_THRESHOLD = 3
 MAX_STARTS_AFTER_THRESHOLD = 2
 GIVE_UP_CRASH_THRESHOLD = 2
--- a/src/granitetrestle_standins/boxprofiles.py
+++ b/src/granitetrestle_standins/boxprofiles.py
@@ -1,6 +1,6 @@
-"""How a stand-in box differs from another where the page leaves a range: its clock, its
-longest lease, how long a stop lasts, and whether it refuses what it has no room for. The
-plain one is the same in every run; others are drawn, one for each box."""
+"""Profiles of stand-in boxes, for behaviour that the platform's specification leaves
+open: clock, longest lease, duration of stops, and whether a box refuses tasks that do
+not fit. The plain profile is the same in every run; others are drawn for each box."""
 
 import enum
 import random
@@ -16,27 +16,27 @@
     "parse_spec",
 ]
 
-# The page's bound on how slow a box's steady clock runs.
+# The specification's limit on how slowly a box's steady clock runs.
 MIN_CLOCK_RATE: t.Final = 0.98
-# Clocks begin anywhere; the longest is some days, in seconds.
+# A clock starts at any value up to this, several days.
 MAX_CLOCK_ORIGIN_S: t.Final = 500_000.0
-# Under the page's bound for a stop, which the program is not told; in seconds.
+# Below the specification's limit on a stop, which the scheduler doesn't know.
 MAX_STOP_S: t.Final = 0.9
 
 
 class EndsTold(enum.Enum):
-    """What a box makes of the number up to which it is told that ends are known."""
+    """How a box applies the acknowledged number of a poll."""
 
-    # It forgets the ends it has up to it.
+    # It removes the ends up to that number that it holds.
     THOSE_IT_HAS = "those it has"
-    # It also never lists one that comes later and is numbered so.
+    # It also never lists a later end whose number is not above it.
     LATER_ONES_TOO = "later ones too"
-    # A number above its own newest means nothing.
+    # It ignores a number above that of its newest end.
     ITS_OWN_NUMBERS = "its own numbers"
 
 
 class Resources(t.NamedTuple):
-    """What there is of a box, or what a task takes.
+    """The capacity of a box, or the demand of a task.
 
     :param cpu: thousandths of a core.
     """
@@ -46,9 +46,9 @@
 
 
 class TaskSpec(t.NamedTuple):
-    """What a task's text says to a stand-in box.
+    """The parsed spec of a task for a stand-in box.
 
-    :param run_ms: how long it runs.
+    :param run_ms: run time of the task.
     """
 
     run_ms: int
@@ -56,16 +56,16 @@
 
 
 class BoxProfile(t.NamedTuple):
-    """How a box behaves. Times in seconds.
+    """The behaviour of a box. Times are in seconds.
 
     :param hold_max_s: longest lease by its own clock.
-    :param clock_rate: seconds on its clock for each one that passes.
-    :param clock_origin_s: what its clock shows as it begins.
-    :param longest_stop_s: stops last up to this.
-    :param room: what it guards; ``None`` if it starts whatever it is told.
-    :param looks_again: whether a look that waits is checked and renews anew all the
-        while, or once as it arrives.
-    :param ends_told: what a number of known ends means.
+    :param clock_rate: seconds on its clock per real second.
+    :param clock_origin_s: value of its clock when it starts.
+    :param longest_stop_s: longest duration of a stop.
+    :param resources: capacity that it enforces; ``None`` if it starts every task.
+    :param looks_again: whether a long poll is checked and renews the lease
+        repeatedly while it waits, or only once on arrival.
+    :param ends_told: how it applies an acknowledged number.
     """
 
     hold_max_s: float = 10.0
@@ -83,8 +83,8 @@
 def draw_profile(
     draw: random.Random, hold_max_s: float, resources: Resources
 ) -> BoxProfile:
-    """Return a profile within what the page allows."""
-    # What was drawn before a box could start again under its id stays the same.
+    """Draw a profile within the limits of the specification."""
+    # ``ends_told`` has a generator of its own: a seed's other draws stay the same.
     state = draw.getstate()[1]
     ends_draw = random.Random(f"{state[0]} {state[-1]}")
     return BoxProfile(
@@ -99,6 +99,6 @@
 
 
 def parse_spec(text: str) -> TaskSpec:
-    """Read ``MS`` or ``MS:CPU:MEM_MB``; without room a task takes none."""
+    """Parse ``MS`` or ``MS:CPU:MEM_MB``; the first form demands no resources."""
     run_ms, *resources = (int(part) for part in text.split(":"))
     return TaskSpec(run_ms, Resources(*resources) if resources else Resources(0, 0))
--- a/src/granitetrestle_standins/nativebox.py
+++ b/src/granitetrestle_standins/nativebox.py
@@ -1,6 +1,6 @@
-"""A box as the platform has one: it runs what it is told under leases, fences orders
-by epoch, and keeps each end until it is confirmed. It also notes every start and
-end, and what it was told when, so that tests can judge what really happened."""
+"""A model of the platform's box: it runs tasks under leases, fences commands by epoch,
+and keeps each end until it is acknowledged. It also records every start, end, refused
+start and change of epoch, so that tests can check what really ran."""
 
 import itertools
 import math
@@ -24,18 +24,18 @@
 
 __all__ = ["BoxModel", "BoxRun"]
 
-# The page's bound; the lowest numbers come first.
+# Limit of the specification for one answer; the lowest numbers come first.
 MAX_LISTED_ENDS: t.Final = 500
 
 
 class BoxRun:
-    """One run of a task on a box. Times in seconds.
+    """One run of a task on a box. Times are in seconds.
 
-    :param epoch: of the order to start it.
-    :param arrived: when that order came.
-    :param held_up: whether it was carried out late, unanswered.
-    :ivar stop_ends: when a stop that was ordered ends it.
-    :ivar noted: when its end was first confirmed.
+    :param epoch: epoch of its start command.
+    :param arrived: arrival time of that command.
+    :param held_up: whether that command was delayed and not answered.
+    :ivar stop_ends: when a stop that is in progress ends it.
+    :ivar noted: when its end was first acknowledged.
     """
 
     def __init__(
@@ -63,15 +63,15 @@
 
 
 class BoxModel:
-    """One life of a box.
+    """One incarnation of a box.
 
     :param hold_max_s: longest lease; ``None`` for the profile's.
-    :param draw: decides how long stops last.
-    :param born: when this life began, in seconds.
-    :param born_ms: the same as it tells it, by the time of day.
-    :ivar history: every run that ever began here.
-    :ivar confirmed: numbers of ends that were confirmed.
-    :ivar lapses: when its lease was over.
+    :param draw: chooses the duration of stops.
+    :param started_s: start time of this incarnation, in seconds.
+    :param started_ms: start time that it reports, in ms since 1970.
+    :ivar history: every run that began here.
+    :ivar acknowledged_end: highest number up to which ends were acknowledged.
+    :ivar lapses: times at which its lease expired.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         self._draw = draw or random.Random(0)
         self._started_s = started_s
         self._highest_token = 0
-        # By its own clock.
+        # On the clock of the box.
         self._lease_end_s = 0.0
         self._leased = False
         self._highest_runs: dict[str, int] = {}
@@ -127,7 +127,7 @@
             self._lease_end_s = max(self._lease_end_s, latest)
 
     def tick(self, now: float) -> None:
-        """End what was stopped, and everything once its lease is over."""
+        """End the runs whose stop is due, and all runs once the lease has expired."""
         for run in list(self.running.values()):
             if run.stop_ends is not None and now >= run.stop_ends:
                 self.end(run.task, "stopped", now)
@@ -150,10 +150,10 @@
         arrived: float | None = None,
         held_up: bool = False,
     ) -> CommandAccepted | CommandRejected:
-        """Begin a run.
+        """Start a run.
 
-        :param arrived: when the order came, if that was before.
-        :param held_up: whether it is carried out late, unanswered.
+        :param arrived: arrival time of the command; ``None`` if it arrives now.
+        :param held_up: whether the command was delayed and is not answered.
         """
         self.tick(now)
         clock = self._clock_ms(now)
@@ -186,7 +186,7 @@
     def _refusal_reason(
         self, task: str, run: int, spec: str, lease_ends_ms: int, now: float
     ) -> str | None:
-        """Return why a start is refused, epochs apart; ``None`` if it is taken."""
+        """Return why a start is refused, epochs apart; ``None`` if it is accepted."""
         if task in self.running or run <= self._highest_runs.get(task, 0):
             return "old"
         if lease_ends_ms <= self._clock_ms(now):
@@ -194,7 +194,7 @@
         return None if self._fits(spec) else "room"
 
     def _fits(self, spec: str) -> bool:
-        """Say whether there is room; what is being stopped still takes its own."""
+        """Return whether a task fits; tasks that are stopping still use resources."""
         resources = self.profile.resources
         if resources is None:
             return True
@@ -209,7 +209,7 @@
     def stop(
         self, task: str, run: int, token: int, now: float
     ) -> CommandAccepted | CommandRejected:
-        """End a run, or see to it that it never begins."""
+        """Stop a run, or prevent its later start."""
         self.tick(now)
         clock = self._clock_ms(now)
         if self._fenced(token, now):
@@ -224,7 +224,7 @@
     def pace(
         self, task: str, run: int, percent: int, token: int, now: float
     ) -> CommandAccepted | CommandRejected:
-        """Let a run work at a share of its speed."""
+        """Set the pace of a run, as a percentage of its full speed."""
         clock = self._clock_ms(now)
         if self._fenced(token, now):
             return CommandRejected("fence", clock)
@@ -236,7 +236,7 @@
     def poll(
         self, acknowledged_end: int, lease_ends_ms: int | None, token: int, now: float
     ) -> PollResult | CommandRejected:
-        """Confirm ends, renew the lease, list what runs and what ended."""
+        """Acknowledge ends, renew the lease, and list running and ended runs."""
         self.tick(now)
         if self._fenced(token, now):
             return CommandRejected("fence", self._clock_ms(now))
@@ -245,8 +245,8 @@
         return self.list_runs(now)
 
     def _acknowledge(self, acknowledged_end: int, now: float) -> None:
-        """Take up to which number ends are known. They count as noted, whether or not it
-        lists them further."""
+        """Apply the acknowledged number. Ends up to it count as noted, even if the
+        profile keeps listing them."""
         self.acknowledged_end = max(self.acknowledged_end, acknowledged_end)
         for number, run in self._runs_by_end.items():
             if number <= acknowledged_end and run.noted is None:
@@ -262,7 +262,7 @@
         self._ended = [row for row in self._ended if row.number > acknowledged_end]
 
     def list_runs(self, now: float) -> PollResult:
-        """Return what runs and what ended, as an answer to a look that waited has it."""
+        """List running and ended runs, and leave ends and lease unchanged."""
         running = tuple(
             RunningTask(run.task, run.run, "", 0, 0.0) for run in self.running.values()
         )
@@ -271,7 +271,7 @@
         return PollResult(self._clock_ms(now), running, listed, more)
 
     def end(self, task: str, how: str, now: float) -> None:
-        """Let a run end."""
+        """End a run and number its end."""
         run = self.running.pop(task)
         run.ended, run.how = now, how
         self._highest_runs[task] = max(run.run, self._highest_runs.get(task, 0))
@@ -282,27 +282,27 @@
             self._ended.append(EndedRun(number, task, run.run, how, ""))
 
     def crash(self, now: float) -> None:
-        """End this life, silently and for good."""
+        """End this incarnation for good; no ends are reported."""
         self.alive = False
         for run in self.running.values():
             run.ended, run.how = now, "crashed"
         self.running.clear()
 
     def unacknowledged(self) -> t.Sequence[EndedRun]:
-        """Return ends that were not confirmed yet."""
+        """Return the ends that are not acknowledged yet."""
         return tuple(self._ended)
 
     def end_counts(self, run: BoxRun) -> bool:
-        """Say whether nothing may run after a run that ended as done: its end was noted,
-        or may still be. After a lapse of the lease nobody can be sure of what the box
-        did, and an end that is noted only then doesn't count."""
+        """Return whether a run's end as done forbids further runs of its task: its end
+        was noted, or may still be. After the lease has expired the scheduler can't be
+        sure what the box did, so an end that is noted only then doesn't count."""
         if run.ended is None or (run.noted is None and not self.alive):
             return False
         until = math.inf if run.noted is None else run.noted
         return not any(run.ended <= at <= until for at in self.lapses)
 
     def facts(self, hall: str) -> BoxFacts:
-        """Return all that this life saw."""
+        """Return everything that this incarnation recorded."""
         runs = [
             RunFact(
                 box=self.incarnation,
--- a/src/granitetrestle_standins/nativestore.py
+++ b/src/granitetrestle_standins/nativestore.py
@@ -1,6 +1,6 @@
-"""A store as the platform has one: topics of keyed records, appends that fence by
-epoch and answer a repeat as they answered first. Where the page on it can be read two
-ways, a reading says which. Faults are switched on by tests."""
+"""A model of the platform's store: topics of keyed records, with appends that are
+fenced by epoch and idempotent by sequence number. Where the store's specification is
+ambiguous, a :class:`.StoreReading` selects the interpretation. Tests switch faults on."""
 
 import random
 import typing as t
@@ -27,15 +27,18 @@
 
 
 class OutOfSequence(t.NamedTuple):
-    """The append does not follow the last one."""
+    """The sequence number of an append does not follow the last one.
+
+    :param wanted: the next sequence number.
+    """
 
     wanted: int
 
 
 class Page(t.NamedTuple):
-    """Some of the newest records, in the order of their keys.
+    """A page of the newest records, ordered by key.
 
-    :param more: whether there are records after these.
+    :param more: whether further records follow.
     :param end: the offset after the last record of the topic.
     """
 
@@ -45,7 +48,7 @@
 
 
 class _DelayedAppend(t.NamedTuple):
-    """An append that will be done at ``at`` if its condition holds then."""
+    """An append that is applied at ``at`` if its epoch and number are valid then."""
 
     at: float
     topic: str
@@ -54,7 +57,11 @@
 
 
 class _WriterState:
-    """What a topic remembers of the newest epoch that wrote to it."""
+    """The newest epoch that wrote to a topic, and its recent appends.
+
+    :ivar last: the sequence number of the last append.
+    :ivar answers: sequence number -> end offset that was answered.
+    """
 
     def __init__(self) -> None:
         self.epoch = 0
@@ -65,8 +72,8 @@
 class StoreModel:
     """Topics with one partition each.
 
-    :param reading: how it reads the page where there are two ways.
-    :param draw: decides what pages show that are no snapshot.
+    :param reading: interpretation of the specification where it is ambiguous.
+    :param draw: chooses between old and new records on pages that are no snapshot.
     """
 
     def __init__(
@@ -77,7 +84,7 @@
         self.first_kept: dict[str, int] = {}
         self._writers: dict[str, _WriterState] = {}
         self._draw = draw or random.Random(0)
-        # Where each topic ended when its first page was last asked for.
+        # Topic -> its end offset when its first page was last requested.
         self._first_page_ends: dict[str, int] = {}
         self._delayed: list[_DelayedAppend] = []
 
@@ -88,7 +95,7 @@
     def append(
         self, topic: str, records: t.Sequence[Record], writer: Writer | None
     ) -> Appended | Fenced | OutOfSequence:
-        """Append all records or none."""
+        """Append all records or none; repeat the first answer to a repeated append."""
         log = self.topics.setdefault(topic, [])
         if writer is None:
             log.extend(records)
@@ -118,24 +125,24 @@
         records: t.Sequence[Record],
         writer: Writer | None,
     ) -> None:
-        """Let an append that gets no answer be done at ``at`` (s), if it can be then."""
+        """Apply an unanswered append at ``at`` (s), if it is valid then."""
         self._delayed.append(_DelayedAppend(at, topic, tuple(records), writer))
 
     def tick(self, now: float) -> None:
-        """Do the late appends that are due."""
+        """Apply the delayed appends that are due."""
         due = [delayed for delayed in self._delayed if delayed.at <= now]
         self._delayed = [delayed for delayed in self._delayed if delayed.at > now]
         for delayed in sorted(due, key=lambda delayed: delayed.at):
             self.append(delayed.topic, delayed.records, delayed.writer)
 
     def newest(self, topic: str) -> NewestRecords:
-        """Return the newest record of each key that was not dropped."""
+        """Return the newest record of each key that is not deleted."""
         kept = self._kept(topic, self.end(topic))
         records = tuple(record for record in kept.values() if record.value is not None)
         return NewestRecords(records, self.end(topic))
 
     def page(self, topic: str, after: str) -> Page:
-        """Return the newest records whose keys follow ``after``, as many as fit."""
+        """Return one page of the newest records whose keys follow ``after``."""
         end = self.end(topic)
         kept = self._kept(topic, end)
         if not after:
@@ -151,12 +158,12 @@
         return Page(tuple(records[:size]), len(records) > size, end)
 
     def _kept(self, topic: str, end: int) -> dict[str, Record]:
-        """Return the newest record of each key before ``end``, dropped ones too."""
+        """Return the newest record of each key before ``end``, deletions included."""
         log = self.topics.setdefault(topic, [])
         return {record.key: record for record in log[:end]}
 
     def _old_or_new(self, new: t.Mapping[str, Record], topic: str) -> dict[str, Record]:
-        """Return each key as it is now, or as it was at the first page."""
+        """Return each key with its current record, or that of the first page's time."""
         old = self._kept(topic, self._first_page_ends.get(topic, 0))
         mixed = {}
         for key, record in new.items():
@@ -165,22 +172,23 @@
         return mixed
 
     def read(self, topic: str, start: int) -> Records | RecordsGone:
-        """Return the records from ``start`` on."""
+        """Return the records from offset ``start`` on."""
         if start < self.first_kept.get(topic, 0):
             return RecordsGone()
         log = self.topics.setdefault(topic, [])
         return Records(tuple(log[start:]), len(log))
 
     def drop_history(self, topic: str) -> None:
-        """Drop the history; the newest of each key stay."""
+        """Drop the history; the newest record of each key stays."""
         self.first_kept[topic] = self.end(topic)
 
 
 class MemoryStore(Store):
-    """The model as a store, with faults.
+    """The model behind the interface :class:`.Store`, with faults.
 
-    :ivar down: every call is refused.
-    :ivar lose: how many of the next appends are done and not answered.
+    :ivar down: whether every call is refused.
+    :ivar lose: number of next appends that are applied and not answered.
+    :ivar appends: writer and record count of each append.
     """
 
     def __init__(self, model: StoreModel) -> None:
@@ -211,7 +219,7 @@
     async def newest_page(
         self, topic: str, after: str | None, timeout_s: float
     ) -> NewestPage | StoreUnavailable:
-        """See :meth:`granitetrestle.interfaces.Store.newest_page`; one page has all."""
+        """See :meth:`granitetrestle.interfaces.Store.newest_page`; all in one page."""
         if self.down:
             return StoreUnavailable("down")
         newest = self.model.newest(topic)
--- a/src/granitetrestle_standins/shardprocess.py
+++ b/src/granitetrestle_standins/shardprocess.py
@@ -1,5 +1,5 @@
-"""One scheduler process of the simulation: it journals decisions, polls boxes, and reads
-operators' directives."""
+"""One scheduler process of the simulation: it journals decisions, polls boxes, and
+reads operators' directives."""
 
 import typing as t
 
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -1,4 +1,4 @@
-"""A simulation in virtual time of the real scheduler with a model store and model boxes.
+"""A simulation in virtual time of the real scheduler, a model store and model boxes.
 Leaders are killed, frozen and replaced; commands and answers are lost or delayed; boxes
 crash, are cut off and restart. The runs on all boxes are checked after each tick."""
 
@@ -170,7 +170,7 @@
         self._add_incarnation(entry)
 
     def _crash_boxes(self) -> None:
-        """Crash boxes under crashing tasks; restart and unlist crashed boxes when due."""
+        """Crash boxes under crashing tasks; restart and unlist crashed ones when due."""
         crashes = self.box_crashes
         for box in list(self.boxes.values()):
             if crashes.crash_due(box, self.now):
@@ -406,7 +406,7 @@
         used = sum(self._step(run.task).cpu for run in box.running.values())
         if used > capacity:
             raise PromiseBroken(
-                f"{box.incarnation} has a capacity of {capacity}, and its tasks use {used}"
+                f"{box.incarnation} has a capacity of {capacity}, but {used} is in use"
             )
 
     def _step(self, task: str) -> Step:
