--- a/src/granitetrestle_standins/nativestore.py
+++ b/src/granitetrestle_standins/nativestore.py
@@ -1,6 +1,6 @@
 """A model of the platform's store: topics of keyed records, with appends that are
 fenced by epoch and idempotent by sequence number. Where the store's specification is
-ambiguous, a :class:`.StoreReading` selects the interpretation. Tests switch faults on."""
+ambiguous, a :class:`.StoreReading` selects the interpretation. Tests inject faults."""
 
 import random
 import typing as t
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -170,7 +170,7 @@
         self._add_incarnation(entry)
 
     def _crash_boxes(self) -> None:
-        """Crash boxes under crashing tasks; restart and unlist crashed ones when due."""
+        """Crash boxes under crashing tasks; restart or unlist crashed ones if due."""
         crashes = self.box_crashes
         for box in list(self.boxes.values()):
             if crashes.crash_due(box, self.now):
