--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -57,7 +57,7 @@
 
 
 @given("a shard of {boxes:d} boxes among models, with jobs of several accounts")
-def shard_at_work(context, boxes):
+def busy_shard(context, boxes):
     context.world = world = ShardWorld(7, boxes)
     context.long_running = [world.submit((LONG_RUNNING,)) for _ in range(2)]
     context.others = list(context.long_running)
@@ -120,7 +120,7 @@
 
 
 @then("every other job completes or still runs, and none counts as failed")
-def others_go_on(context):
+def others_unaffected(context):
     world = context.world
     states = {
         job: world.leader.scheduler.state.workflows[job].state
@@ -339,7 +339,7 @@
     "a job has just started, another's start is held back as the store is away, and "
     "the box crashes"
 )
-def held_back(context):
+def start_held_back(context):
     world = context.world
     step = Step(count=1, cpu=500, memory_mb=10)
     context.started_job = world.submit((step,))
@@ -373,6 +373,6 @@
     "random work and faults run on a shard whose leaders lose the store from seed "
     "{seed:d}"
 )
-def random_parted(context, seed):
+def random_store_losses(context, seed):
     context.shard = RandomShard(seed, "parted")
     context.shard.run()
--- a/features/steps/forwarded_steps.py
+++ b/features/steps/forwarded_steps.py
@@ -108,7 +108,7 @@
 
 
 @when("a process starts to which others forward requests already")
-def starts_while_asked(context):
+def starts_among_requests(context):
     context.responder = SlowResponder(0.0)
     node = node_that_receives(
         context, [forwarded_request(1, 2.0), forwarded_request(2, 2.0)]
@@ -123,6 +123,6 @@
 
 
 @then("it is registered, and sends the others no answer")
-def at_work(context):
+def registered_without_answers(context):
     assert "n1" in context.known.nodes, context.known
     assert context.peers.sent == [], context.peers.sent
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -209,14 +209,14 @@
 @then(
     "meanwhile it was started there at most once every 2 seconds, and no short job was"
 )
-def tried_seldom(context):
+def starts_limited(context):
     assert not any(short for short, _ in context.quarantined_steps)
     tried = sum(long_running for _, long_running in context.quarantined_steps)
     assert tried <= len(context.quarantined_steps) * 0.1 / 2.0 + 1, tried
 
 
 @then("the long-running task stays placed there within {seconds:g} seconds more")
-def runs_for_good(context, seconds):
+def keeps_running(context, seconds):
     failing = context.failing
     (task,) = failing.long_running.tasks.values()
     started_at = failing.harness.now
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -202,19 +202,19 @@
 def starts_wait(context):
     context.granted = []
 
-    async def start(kind, incarnation):
-        async with context.window.turn(kind, incarnation):
-            context.granted.append((kind, incarnation))
+    async def start(priority, incarnation):
+        async with context.window.turn(priority, incarnation):
+            context.granted.append((priority, incarnation))
 
     async def run():
         async with anyio.create_task_group() as tasks:
-            for kind, incarnation in (
+            for priority, incarnation in (
                 (SHORT, "a"),
                 (BEST_EFFORT, "a"),
                 (URGENT, "a"),
                 (SHORT, "b"),
             ):
-                tasks.start_soon(start, kind, incarnation)
+                tasks.start_soon(start, priority, incarnation)
             await anyio.wait_all_tasks_blocked()
             assert context.granted == []
             context.window.release_starts({"a"})
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -108,7 +108,7 @@
     "a successor takes over, whose list still shows b@1, and another incarnation "
     "answers"
 )
-def older_list(context):
+def outdated_list(context):
     takes_over(context, "b@1")
     poll_box(context, "b@1", BoxReplaced(), 1.1)
 
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -340,7 +340,7 @@
 @then(
     "the command line summarizes it: {jobs:d} jobs, {late:d} late, {room:g} s for room"
 )
-def summed_up(context, jobs, late, room):
+def jobs_summarized(context, jobs, late, room):
     done = explain_all(context.log)
     (queue,) = json.loads(done.stdout)
     assert (queue["jobs"], queue["late"]) == (jobs, late), queue
@@ -382,15 +382,15 @@
 @when("every run there fails")
 def every_run_fails(context):
     (box,) = context.harness.scheduler.state.boxes.values()
-    context.more = 0
-    while box.open_for_work(context.harness.now) and context.more < 10:
-        end_of_job(context.harness, 300 + context.more, "failed")
-        context.more += 1
+    context.failures = 0
+    while box.open_for_work(context.harness.now) and context.failures < 10:
+        end_of_job(context.harness, 300 + context.failures, "failed")
+        context.failures += 1
 
 
 @then("it is quarantined after {count:d} more failures at most")
 def quarantined(context, count):
-    assert context.more <= count, context.more
+    assert context.failures <= count, context.failures
 
 
 @given("a leader with a box, and two tasks of a job, one of which was requeued")
