--- a/features/box_crashes.feature
+++ b/features/box_crashes.feature
@@ -2,8 +2,8 @@
   A box that crashes reports no failed runs, so its tasks wait again as after any other loss.
   Unless crashes are counted against tasks, a task that crashes its box within 10 ms of its
   start is started again without end: two such tasks were started 27 times each within 115 s.
-  Each crash took down 4 to 15 tasks that had not caused it. The log then holds such lines for
-  the task, and no other line names it but job_taken:
+  Each crash also ended 4 to 15 tasks that had not caused it. Besides job_taken the log then
+  holds only lines such as these for the task:
 
     run_lost run 1, state running, answered, seen_s 0.0, silent_after_s 0.1
     run_lost run 2, state running, answered, seen_s 0.0, silent_after_s 0.1
@@ -23,7 +23,7 @@
 
   Scenario: A task that crashes boxes beside one that is suspected more is given up in time
     If a crash counts only against the most suspected task, the other one is started a sixth
-    time where there is but one box.
+    time if there is only one box.
     Given two tasks that start together without an answer, one of them suspected before
     When their box is lost 4 times
     Then both are given up
@@ -57,8 +57,8 @@
     Each seed breaks a promise without one of the rules.
     35, 78: a command that provably was never sent does not count against its task.
     115: nor does one that another incarnation of the box answered.
-    107, 231, 353, 2713: of two tasks that crash boxes and start together on the only box, not
-    the same one takes all the blame each time.
+    107, 231, 353, 2713: if two tasks that crash boxes start together on the only box, the
+    crashes do not all count against the same task.
     2798: a crash is not taken for a planned end when the box's entry goes first.
     When random work and faults run on a shard from seed <seed>
     Then no promise was broken
@@ -81,8 +81,8 @@
     Then no promise was broken
 
   Scenario: A job that did nothing wrong is not given up as boxes and deciders are lost in turn
-    Three boxes are lost just after the job's three starts. The second loss is counted by two
-    leaders, and one count is kept: 3, 2 and 3 points give the job up.
+    Three boxes are lost just after the job's three starts. Two leaders count the second
+    loss, and only one count is stored: the job is given up with 3, 2 and 3 points.
     When random work and faults run on a shard from seed 949
     Then no promise was broken
 
@@ -93,8 +93,9 @@
     Then no promise was broken
 
   Scenario: A job that did nothing wrong is not given up as boxes are lost in waves
-    A third to a half of the boxes crash together, again and again. Two waves just after a start
-    of a task would give its job up, as no other task had just started on its box:
+    A third to a half of the boxes crash together, again and again. Two waves, each just
+    after a start of a task, would otherwise give its job up, as no other task has just
+    started on its box:
 
       run_lost run 1, answered, suspicion 3, silent_after_s 0.294
       run_lost run 2, answered, suspicion 6, silent_after_s 0.239
--- a/features/native_parts.feature
+++ b/features/native_parts.feature
@@ -29,7 +29,7 @@
 
   Scenario: A restarted process does not take itself for the leader
     Given a process that the store names as the last leader
-    Then it takes over instead of waiting for a report of its own
+    Then it takes over without waiting for a report of that leader
 
   Scenario: A silent leader is replaced by the first of its successors
     Given two successors of a leader that became silent
--- a/features/native_policy.feature
+++ b/features/native_policy.feature
@@ -71,7 +71,7 @@
     Given a long-running task that has room only on a box where every run fails
     When every run on the box fails for <seconds> seconds
     Then meanwhile it was started there at most once every 2 seconds, and no short job was
-    And the long-running task stays placed there within 4 seconds more
+    And the long-running task starts there within 4 seconds more, and keeps running
 
     Examples:
       | seconds |
--- a/features/steps/lasting_steps.py
+++ b/features/steps/lasting_steps.py
@@ -215,7 +215,10 @@
     assert tried <= len(context.quarantined_steps) * 0.1 / 2.0 + 1, tried
 
 
-@then("the long-running task stays placed there within {seconds:g} seconds more")
+@then(
+    "the long-running task starts there within {seconds:g} seconds more, and keeps "
+    "running"
+)
 def keeps_running(context, seconds):
     failing = context.failing
     (task,) = failing.long_running.tasks.values()
--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -22,7 +22,7 @@
     context.leadership.record_leader(7 << 24, "n1", 0.1)
 
 
-@then("it takes over instead of waiting for a report of its own")
+@then("it takes over without waiting for a report of that leader")
 def takes_over(context):
     assert context.leadership.leader == ""
     assert context.leadership.is_take_over_due(0.5)
