--- a/features/steps/box_standin_steps.py
+++ b/features/steps/box_standin_steps.py
@@ -261,7 +261,7 @@
 
 @when("a start comes in that moment")
 def start_in_moment(context):
-    served, usual = context.served, boxserver.LATE_S
+    served, usual = context.served, boxserver.COMMAND_DELAY_S
 
     async def script():
         context.answer = await served.start()
@@ -269,11 +269,11 @@
         context.newer = await served.call("/api/hold")
         await asyncio.sleep(0.3)
 
-    boxserver.LATE_S = (0.4, 0.4)
+    boxserver.COMMAND_DELAY_S = (0.4, 0.4)
     try:
         served.play(script)
     finally:
-        boxserver.LATE_S = usual
+        boxserver.COMMAND_DELAY_S = usual
 
 
 @then("it gets no answer, and is carried out later, marked as delayed")
--- a/src/granitetrestle_standins/boxserver.py
+++ b/src/granitetrestle_standins/boxserver.py
@@ -18,11 +18,11 @@
 
 __all__ = ["BoxServer", "Reply", "json_reply"]
 
-TICK_S: t.Final = 0.02
+TICK_INTERVAL_S: t.Final = 0.02
 # An order that gets no answer is carried out so much later, in seconds; the page says
 # "seconds".
-LATE_S: t.Final = (0.2, 6.0)
-OTHER_LIFE: t.Final = 421
+COMMAND_DELAY_S: t.Final = (0.2, 6.0)
+WRONG_BOX_STATUS: t.Final = 421
 
 
 class Reply(t.NamedTuple):
@@ -45,7 +45,7 @@
     ``POST /test/late?share=P&s=S`` lets that share of calls go unanswered for S seconds,
     each to be carried out some seconds later; ``POST /test/crash?s=S`` ends its life, and
     another begins after S seconds, under another id or, with ``keep=1``, under the one it
-    had, and with ``list=S`` is in the list so many seconds later; ``POST /test/runs``
+    had, and with ``list=S`` is in the list so many seconds delayed; ``POST /test/runs``
     tells of each run, at last whether its end may be known to anybody; ``POST
     /test/facts`` tells all that its lives saw.
 
@@ -60,7 +60,7 @@
         hall: str,
         profile: BoxProfile,
         draw: random.Random,
-        listed: t.Callable[["BoxServer", str], None],
+        update_entry: t.Callable[["BoxServer", str], None],
         gate: Gate | None = None,
     ) -> None:
         self.box_id = name
@@ -69,41 +69,41 @@
         self._hall = hall
         self._profile = profile
         self._draw = draw
-        self._listed = listed
+        self._update_entry = update_entry
         self._incarnations: list[BoxModel] = []
-        self._begin()
+        self._start_incarnation()
         self._silent_until = 0.0
-        self._late_until = 0.0
-        self._late_share = 0.0
+        self._delay_until = 0.0
+        self._delayed_share = 0.0
         self._down_until: float | None = None
-        self._keeps_id = False
+        self._keep_id = False
         self._list_after_s = 0.0
-        self._id_before = ""
+        self._previous_id = ""
         self._list_at: float | None = None
-        self._late_calls: set[asyncio.Task[None]] = set()
+        self._delayed_calls: set[asyncio.Task[None]] = set()
 
     @property
     def model(self) -> BoxModel:
         """The life that answers now."""
         return self._incarnations[-1]
 
-    def _begin(self) -> None:
+    def _start_incarnation(self) -> None:
         started_ms = time.time_ns() // 1_000_000
         incarnation = f"{self.box_id}@{started_ms}"
-        parts = (None, self._profile, self._draw, self._born(), started_ms)
+        parts = (None, self._profile, self._draw, self._start_time(), started_ms)
         self._incarnations.append(BoxModel(incarnation, *parts))
 
-    def _begin_again(self, now: float) -> None:
+    def _restart(self, now: float) -> None:
         self._down_until = None
-        self._id_before = ""
-        if not self._keeps_id:
-            self._id_before = self.box_id
+        self._previous_id = ""
+        if not self._keep_id:
+            self._previous_id = self.box_id
             self.box_id = f"{self._name}-{len(self._incarnations)}"
-        self._begin()
+        self._start_incarnation()
         self.gate.open()
         self._list_at = now + self._list_after_s
 
-    def _born(self) -> float:
+    def _start_time(self) -> float:
         """Return when a life begins: the plain profile's clock is the platform's own."""
         plain = self._profile.clock_rate == 1.0 and not self._profile.clock_origin_s
         return 0.0 if plain else time.monotonic()
@@ -111,17 +111,17 @@
     async def run(self) -> None:
         """Let tasks end in time."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             now = time.monotonic()
             if self._down_until is not None and now >= self._down_until:
-                self._begin_again(now)
+                self._restart(now)
             if self._list_at is not None and now >= self._list_at:
                 self._list_at = None
-                self._listed(self, self._id_before)
+                self._update_entry(self, self._previous_id)
             self.model.tick(now)
             for run in list(self.model.running.values()):
-                lasts_s = parse_spec(run.spec).run_ms / 1000.0
-                if run.stop_ends is None and now - run.began > lasts_s:
+                run_time_s = parse_spec(run.spec).run_ms / 1000.0
+                if run.stop_ends is None and now - run.began > run_time_s:
                     self.model.end(run.task, "done", now)
 
     def hook(self, path: str, query: t.Mapping[str, str]) -> Reply:
@@ -130,14 +130,14 @@
         if path == "/test/silent":
             self._silent_until = now + float(query["s"])
         elif path == "/test/late":
-            self._late_share = float(query["share"])
-            self._late_until = now + float(query["s"])
+            self._delayed_share = float(query["share"])
+            self._delay_until = now + float(query["s"])
         elif path == "/test/crash":
             if self._down_until is None:
                 self.model.crash(now)
                 self.gate.shut()
             self._down_until = now + float(query["s"])
-            self._keeps_id = query.get("keep") == "1"
+            self._keep_id = query.get("keep") == "1"
             self._list_after_s = float(query.get("list", "0"))
         elif path == "/test/facts":
             facts = [model.facts(self._hall)._asdict() for model in self._incarnations]
@@ -152,51 +152,53 @@
             return json_reply(200, [[r.task, r.run, r.how] for r in history])
         return json_reply(200, {})
 
-    async def answer(self, path: str, meant: str, body: bytes) -> Reply | None:
+    async def answer(self, path: str, expected_id: str, body: bytes) -> Reply | None:
         """Answer a call, or ``None`` for no answer.
 
         :param meant: the id of the box that it is for; empty for any.
         """
-        if meant not in ("", self.box_id):
-            return json_reply(OTHER_LIFE, {})
+        if expected_id not in ("", self.box_id):
+            return json_reply(WRONG_BOX_STATUS, {})
         now = time.monotonic()
         if now < self._silent_until or self._down_until is not None:
             return None
-        order = json.loads(body or b"{}")
-        if now < self._late_until and self._draw.random() < self._late_share:
-            later = asyncio.create_task(self._carry_out_late(path, order, self.model))
-            self._late_calls.add(later)
-            later.add_done_callback(self._late_calls.discard)
+        command = json.loads(body or b"{}")
+        if now < self._delay_until and self._draw.random() < self._delayed_share:
+            delayed = asyncio.create_task(
+                self._execute_delayed(path, command, self.model)
+            )
+            self._delayed_calls.add(delayed)
+            delayed.add_done_callback(self._delayed_calls.discard)
             return None
         if path == "/api/hold":
-            return await self._hold(order)
-        return _order_reply(_carry_out(self.model, path, order, now, now, False))
+            return await self._hold(command)
+        return _command_reply(_execute(self.model, path, command, now, now, False))
 
-    async def _carry_out_late(
-        self, path: str, order: t.Mapping[str, t.Any], model: BoxModel
+    async def _execute_delayed(
+        self, path: str, command: t.Mapping[str, t.Any], model: BoxModel
     ) -> None:
         arrived = time.monotonic()
-        await asyncio.sleep(self._draw.uniform(*LATE_S))
+        await asyncio.sleep(self._draw.uniform(*COMMAND_DELAY_S))
         if not model.alive:
             return
         now = time.monotonic()
         if path == "/api/hold":
-            _poll(model, order, now)
+            _poll(model, command, now)
         else:
-            _carry_out(model, path, order, now, arrived, True)
+            _execute(model, path, command, now, arrived, True)
 
     async def _hold(self, body: t.Mapping[str, t.Any]) -> Reply:
         model = self.model
-        until = time.monotonic() + body.get("wait_ms", 0) / 1000.0
+        deadline = time.monotonic() + body.get("wait_ms", 0) / 1000.0
         poll = _poll(model, body, time.monotonic())
         while isinstance(poll, PollResult):
-            if poll.ended or time.monotonic() >= until:
+            if poll.ended or time.monotonic() >= deadline:
                 return _poll_reply(model, poll)
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             now = time.monotonic()
-            again = self._profile.rechecks_long_polls
-            poll = _poll(model, body, now) if again else model.list_runs(now)
-        return _order_reply(poll)
+            recheck = self._profile.rechecks_long_polls
+            poll = _poll(model, body, now) if recheck else model.list_runs(now)
+        return _command_reply(poll)
 
 
 def _run_row(model: BoxModel, run: BoxRun) -> list[t.Any]:
@@ -211,22 +213,22 @@
     return model.poll(body.get("last_seen", 0), body.get("until_ms"), token, now)
 
 
-def _carry_out(
+def _execute(
     model: BoxModel,
     path: str,
-    order: t.Mapping[str, t.Any],
+    command: t.Mapping[str, t.Any],
     now: float,
     arrived: float,
     held_up: bool,
 ) -> CommandAccepted | CommandRejected:
-    task, run = order["task"], order["run"]
-    token = order.get("fencing_token", 0)
+    task, run = command["task"], command["run"]
+    token = command.get("fencing_token", 0)
     if path == "/api/run-start":
-        spec, until_ms = order["spec"], order["until_ms"]
+        spec, until_ms = command["spec"], command["until_ms"]
         return model.start(task, run, spec, until_ms, token, now, arrived, held_up)
     if path == "/api/run-stop":
         return model.stop(task, run, token, now)
-    return model.pace(task, run, order["percent"], token, now)
+    return model.pace(task, run, command["percent"], token, now)
 
 
 def _poll_reply(model: BoxModel, poll: PollResult) -> Reply:
@@ -241,7 +243,7 @@
     return json_reply(200, answer)
 
 
-def _order_reply(outcome: CommandAccepted | CommandRejected) -> Reply:
+def _command_reply(outcome: CommandAccepted | CommandRejected) -> Reply:
     if isinstance(outcome, CommandAccepted):
         return json_reply(200, {"clock_ms": outcome.clock_ms})
     return json_reply(409, {"clock_ms": outcome.clock_ms, "reason": outcome.reason})
--- a/src/granitetrestle_standins/nativeplatform.py
+++ b/src/granitetrestle_standins/nativeplatform.py
@@ -43,15 +43,15 @@
 
 HOST = "jobs.example"
 PREFIX = "/jobs/"
-TICK_S = 0.02
+TICK_INTERVAL_S = 0.02
 # How long a slow store takes for an answer.
-SLOW_S = 0.3
+SLOW_ANSWER_DELAY_S = 0.3
 # A silent store has done, will do or won't do what it was asked: this share it does.
-LATER_SHARE = 0.5
+DELAYED_APPEND_SHARE = 0.5
 # The longest lease of a drawn box, as the settings of the processes have it, and the
 # room of every box.
 HOLD_MAX_S = 4.0
-ROOM = Resources(8000, 8000)
+BOX_CAPACITY = Resources(8000, 8000)
 DRAWN = "drawn"
 # Boxes' test hooks are called at the store's address, ``/test/box/N/HOOK`` for box N: the
 # box itself may be down.
@@ -89,13 +89,13 @@
         self.model = model
         self._draw = draw
         self.lose = 0
-        self._how = ""
-        self._until = 0.0
+        self._fault = ""
+        self._fault_until = 0.0
 
     async def run(self) -> None:
         """Do what is due later."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             self.model.tick(time.monotonic())
 
     async def handle(
@@ -114,19 +114,19 @@
             self.model.append(query["topic"], [Record(query["key"], value)], None)
             return json_reply(200, {})
         if path == "/test/store":
-            self._how = query["how"]
-            self._until = time.monotonic() + float(query["s"])
+            self._fault = query["how"]
+            self._fault_until = time.monotonic() + float(query["s"])
             return json_reply(200, {})
         if path == "/test/forget":
             self.model.drop_history("keyed.op")
             return json_reply(200, {})
-        if time.monotonic() < self._until:
-            if self._how == "silent":
-                self._silent(path, query, body)
+        if time.monotonic() < self._fault_until:
+            if self._fault == "silent":
+                self._handle_unanswered(path, query, body)
                 return None
-            if self._how == "busy":
+            if self._fault == "busy":
                 return json_reply(503, {})
-            await asyncio.sleep(SLOW_S)
+            await asyncio.sleep(SLOW_ANSWER_DELAY_S)
         topic = query["topic"]
         if path == "/api/log-append":
             return self._append(topic, query, body)
@@ -139,7 +139,7 @@
     ) -> Reply | None:
         if self.lose and body:
             self.lose -= 1
-            if self._does_later():
+            if self._should_delay():
                 self._append_later(query, body)
             else:
                 self.model.append(topic, _decode(body), _writer(query))
@@ -152,13 +152,15 @@
         assert isinstance(outcome, OutOfSequence)
         return json_reply(409, {"reason": "seq", "call_seq": outcome.wanted})
 
-    def _silent(self, path: str, query: t.Mapping[str, str], body: bytes) -> None:
-        if path == "/api/log-append" and self._does_later():
+    def _handle_unanswered(
+        self, path: str, query: t.Mapping[str, str], body: bytes
+    ) -> None:
+        if path == "/api/log-append" and self._should_delay():
             self._append_later(query, body)
 
-    def _does_later(self) -> bool:
-        later = self.model.reading.unanswered is Unanswered.LATER
-        return later and self._draw.random() < LATER_SHARE
+    def _should_delay(self) -> bool:
+        delayed = self.model.reading.unanswered is Unanswered.LATER
+        return delayed and self._draw.random() < DELAYED_APPEND_SHARE
 
     def _append_later(self, query: t.Mapping[str, str], body: bytes) -> None:
         at = time.monotonic() + self._draw.uniform(*LATER_S)
@@ -173,15 +175,15 @@
         return json_reply(200, {"items": items, "more": page.more, "end": page.end})
 
     async def _read(self, topic: str, query: t.Mapping[str, str]) -> Reply:
-        until = time.monotonic() + int(query.get("wait_ms", "0")) / 1000.0
+        deadline = time.monotonic() + int(query.get("wait_ms", "0")) / 1000.0
         while True:
             outcome = self.model.read(topic, int(query["from"]))
             if not isinstance(outcome, Records):
                 return json_reply(410, {"first": self.model.first_kept[topic]})
-            if outcome.records or time.monotonic() >= until:
+            if outcome.records or time.monotonic() >= deadline:
                 head = struct.pack(">QQ", outcome.end, 0)
                 return Reply(200, head + b"".join(map(_encode, outcome.records)))
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
 
 def _writer(query: t.Mapping[str, str]) -> Writer | None:
@@ -229,12 +231,14 @@
         for number, profile in enumerate(profiles):
             hall = f"hall-{1 + (1 + number) % 2}"
             box_port = port + 1 + number
-            listed = functools.partial(self._list, box_port, hall)
-            box = BoxServer(f"b{number}", hall, profile, draw, listed)
+            update_entry = functools.partial(self._update_entry, box_port, hall)
+            box = BoxServer(f"b{number}", hall, profile, draw, update_entry)
             self.boxes[box_port] = box
-            self._list(box_port, hall, box, "")
+            self._update_entry(box_port, hall, box, "")
 
-    def _list(self, port: int, hall: str, box: BoxServer, before: str) -> None:
+    def _update_entry(
+        self, port: int, hall: str, box: BoxServer, previous_id: str
+    ) -> None:
         """Enter a box as it is in the list, and drop its id before, if it had another."""
         entry = {
             "born": box.model.started_ms,
@@ -242,12 +246,16 @@
             "address": f"{self._ip}:{port}",
             "zone": hall,
             "state": "ready",
-            "capacity": {"cpu": ROOM.cpu, "mem_mb": ROOM.mem_mb, "gpu": 0},
+            "capacity": {
+                "cpu": BOX_CAPACITY.cpu,
+                "mem_mb": BOX_CAPACITY.mem_mb,
+                "gpu": 0,
+            },
             "labels": ["a", "r1"],
         }
         records = [Record(box.box_id, json.dumps(entry).encode())]
-        if before:
-            records.append(Record(before, None))
+        if previous_id:
+            records.append(Record(previous_id, None))
         self.store.model.append("keyed.servers", records, None)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -278,8 +286,8 @@
                     f"/test/{hook}", query
                 )
             return await self.store.handle(path, query, body)
-        meant = dict(scope["headers"]).get(b"expect-instance", b"").decode()
-        return await box.answer(path, meant, body)
+        expected_id = dict(scope["headers"]).get(b"expect-instance", b"").decode()
+        return await box.answer(path, expected_id, body)
 
 
 async def _run(app: PlatformApp, ip: str, port: int) -> None:
@@ -293,11 +301,11 @@
 
 
 def _profiles(
-    name: str, told: EndsTold, boxes: int, draw: random.Random
+    name: str, ends_told: EndsTold, boxes: int, draw: random.Random
 ) -> list[BoxProfile]:
     if name == DRAWN:
-        return [draw_profile(draw, HOLD_MAX_S, ROOM) for _ in range(boxes)]
-    return [PLAIN_BOX._replace(ends_told=told)] * boxes
+        return [draw_profile(draw, HOLD_MAX_S, BOX_CAPACITY) for _ in range(boxes)]
+    return [PLAIN_BOX._replace(ends_told=ends_told)] * boxes
 
 
 def main() -> None:
@@ -319,8 +327,8 @@
         if arguments.reading == DRAWN
         else READINGS[arguments.reading]
     )
-    told = arguments.ends_told
-    profiles = _profiles(arguments.profiles, told, arguments.boxes, draw)
+    ends_told = arguments.ends_told
+    profiles = _profiles(arguments.profiles, ends_told, arguments.boxes, draw)
     print(f"reading: {reading.name}; boxes: {arguments.profiles}", flush=True)
     app = PlatformApp(arguments.ip, arguments.port, reading, profiles, draw)
     asyncio.run(_run(app, arguments.ip, arguments.port))
