--- a/src/granitetrestle_standins/boxprofiles.py
+++ b/src/granitetrestle_standins/boxprofiles.py
@@ -63,7 +63,7 @@
     :param clock_origin_s: value of its clock when it starts.
     :param longest_stop_s: longest duration of a stop.
     :param resources: capacity that it enforces; ``None`` if it starts every task.
-    :param looks_again: whether a long poll is checked and renews the lease
+    :param rechecks_long_polls: whether a long poll is checked and renews the lease
         repeatedly while it waits, or only once on arrival.
     :param ends_told: how it applies an acknowledged number.
     """
--- a/src/granitetrestle_standins/boxserver.py
+++ b/src/granitetrestle_standins/boxserver.py
@@ -1,5 +1,5 @@
-"""A stand-in box over HTTP, in the platform's own formats, with hooks for tests: it can
-fall silent, carry orders out late, crash, and tell all that it saw."""
+"""A stand-in box that speaks the platform's HTTP formats, with hooks for tests: they
+let it hang, delay commands, crash and restart, and return everything it recorded."""
 
 import asyncio
 import json
@@ -19,39 +19,38 @@
 __all__ = ["BoxServer", "Reply", "json_reply"]
 
 TICK_INTERVAL_S: t.Final = 0.02
-# An order that gets no answer is carried out so much later, in seconds; the page says
-# "seconds".
+# Range of the delay of an unanswered call; the specification says only "seconds".
 COMMAND_DELAY_S: t.Final = (0.2, 6.0)
 WRONG_BOX_STATUS: t.Final = 421
 
 
 class Reply(t.NamedTuple):
-    """An HTTP answer."""
+    """An HTTP response."""
 
     status: int
     body: bytes
 
 
 def json_reply(status: int, body: t.Any) -> Reply:
-    """Return an answer with a body in JSON."""
+    """Return a response with a JSON body."""
     return Reply(status, json.dumps(body).encode())
 
 
 class BoxServer:
-    """One life of a box after another at an address. A task's ``spec`` is how many
-    milliseconds it runs, and what room it takes. Hooks:
-
-    ``POST /test/silent?s=S`` lets it run on without an answer to anybody for S seconds;
-    ``POST /test/late?share=P&s=S`` lets that share of calls go unanswered for S seconds,
-    each to be carried out some seconds later; ``POST /test/crash?s=S`` ends its life, and
-    another begins after S seconds, under another id or, with ``keep=1``, under the one it
-    had, and with ``list=S`` is in the list so many seconds delayed; ``POST /test/runs``
-    tells of each run, at last whether its end may be known to anybody; ``POST
-    /test/facts`` tells all that its lives saw.
-
-    :param listed: told of the box as it is to be in the list, and of the id before, if
-        that goes.
-    :param gate: of its address, shut while no life answers.
+    """The successive incarnations of a box at one address. A task's ``spec`` holds its
+    run time in milliseconds and its demand; see :func:`.parse_spec`. Hooks:
+
+    ``POST /test/silent?s=S`` leaves calls unanswered for S seconds, while tasks run;
+    ``POST /test/late?share=P&s=S`` leaves that share of calls unanswered for S seconds,
+    and executes each some seconds later; ``POST /test/crash?s=S`` ends the incarnation
+    and starts another after S seconds, under another id or, with ``keep=1``, under the
+    same one; with ``list=S`` it is listed S seconds after its start; ``POST
+    /test/runs`` returns each run, with :meth:`.BoxModel.end_counts` as the last column; ``POST
+    /test/facts`` returns everything that its incarnations recorded.
+
+    :param update_entry: called with the box to list, and with its previous id if that
+        is to be removed, otherwise an empty string.
+    :param gate: gate of its address, shut while no incarnation answers.
     """
 
     def __init__(
@@ -84,7 +83,7 @@
 
     @property
     def model(self) -> BoxModel:
-        """The life that answers now."""
+        """The current incarnation."""
         return self._incarnations[-1]
 
     def _start_incarnation(self) -> None:
@@ -104,12 +103,13 @@
         self._list_at = now + self._list_after_s
 
     def _start_time(self) -> float:
-        """Return when a life begins: the plain profile's clock is the platform's own."""
+        """Return the start time of an incarnation; 0 for the plain profile, whose clock
+        equals the platform's."""
         plain = self._profile.clock_rate == 1.0 and not self._profile.clock_origin_s
         return 0.0 if plain else time.monotonic()
 
     async def run(self) -> None:
-        """Let tasks end in time."""
+        """Restart and list the box and end its tasks when due."""
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             now = time.monotonic()
@@ -125,7 +125,7 @@
                     self.model.end(run.task, "done", now)
 
     def hook(self, path: str, query: t.Mapping[str, str]) -> Reply:
-        """Answer a test's own call."""
+        """Handle a call to a test hook."""
         now = time.monotonic()
         if path == "/test/silent":
             self._silent_until = now + float(query["s"])
@@ -153,9 +153,9 @@
         return json_reply(200, {})
 
     async def answer(self, path: str, expected_id: str, body: bytes) -> Reply | None:
-        """Answer a call, or ``None`` for no answer.
+        """Return the answer to a call, or ``None`` for no answer.
 
-        :param meant: the id of the box that it is for; empty for any.
+        :param expected_id: id of the box that the call addresses; empty for any.
         """
         if expected_id not in ("", self.box_id):
             return json_reply(WRONG_BOX_STATUS, {})
--- a/src/granitetrestle_standins/nativeplatform.py
+++ b/src/granitetrestle_standins/nativeplatform.py
@@ -1,6 +1,6 @@
-"""The users' platform in small, over HTTP in its own formats: a store and boxes, each
-at an address of its own, in one process. For tests of the real daemon only; what it
-speaks is written down from the platform's pages, apart from the adapter."""
+"""A stand-in for the users' platform over HTTP: a store and boxes in one process, each
+at its own address, for tests of the real daemon only. Its formats are written from the
+platform's specification, independently of the adapter."""
 
 import argparse
 import asyncio
@@ -44,16 +44,16 @@
 HOST = "jobs.example"
 PREFIX = "/jobs/"
 TICK_INTERVAL_S = 0.02
-# How long a slow store takes for an answer.
+# Delay of each answer of a slow store.
 SLOW_ANSWER_DELAY_S = 0.3
-# A silent store has done, will do or won't do what it was asked: this share it does.
+# Share of unanswered appends that are applied later, if the interpretation allows it.
+# The others are applied at once (a lost answer) or never (a silent store).
 DELAYED_APPEND_SHARE = 0.5
-# The longest lease of a drawn box, as the settings of the processes have it, and the
-# room of every box.
+# Longest lease of a drawn box, equal to the processes' setting.
 HOLD_MAX_S = 4.0
 BOX_CAPACITY = Resources(8000, 8000)
 DRAWN = "drawn"
-# Boxes' test hooks are called at the store's address, ``/test/box/N/HOOK`` for box N: the
+# Test hooks of box N are called at the store's address, as ``/test/box/N/HOOK``: the
 # box itself may be down.
 BOX_HOOKS = "/test/box/"
 ROUTE = {
@@ -75,14 +75,15 @@
 
 
 class StoreServer:
-    """The store; ``POST /test/lose?n=N`` loses the next N answers to appends, ``POST
-    /test/order?key=K&value=V`` lets an operator write, or drop a key without a value,
-    ``POST /test/write?topic=T&key=K&value=V`` writes anything, V in base64,
-    ``POST /test/store?how=HOW&s=S`` lets it be ``busy``, ``silent`` or ``slow`` for S
-    seconds, ``POST /test/forget`` drops the history of what operators wrote.
-
-
-    :param draw: decides which unanswered calls are done later.
+    """The store, with test hooks: ``POST /test/lose?n=N`` loses the next N answers to
+    appends; ``POST /test/order?key=K&value=V`` writes an operator's record, or deletes
+    the key if there is no value; ``POST /test/write?topic=T&key=K&value=V`` writes any
+    record, V in base64; ``POST /test/store?how=HOW&s=S`` makes the store ``busy``,
+    ``silent`` or ``slow`` for S seconds; ``POST /test/forget`` drops the history of
+    operators' records.
+
+    :param draw: decides which unanswered appends are applied later.
+    :ivar lose: number of next answers to appends that are lost.
     """
 
     def __init__(self, model: StoreModel, draw: random.Random) -> None:
@@ -93,7 +94,7 @@
         self._fault_until = 0.0
 
     async def run(self) -> None:
-        """Do what is due later."""
+        """Apply delayed appends when due."""
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             self.model.tick(time.monotonic())
@@ -101,7 +102,7 @@
     async def handle(
         self, path: str, query: t.Mapping[str, str], body: bytes
     ) -> Reply | None:
-        """Answer a call, or ``None`` for an answer that is lost."""
+        """Return the answer to a call, or ``None`` if the answer is lost."""
         if path == "/test/lose":
             self.lose = int(query["n"])
             return json_reply(200, {})
@@ -208,10 +209,10 @@
 
 
 class PlatformApp:
-    """Dispatches by port: the first is the store's, the others the boxes'.
+    """Dispatches requests by port: the first is the store's, the others the boxes'.
 
-    :param reading: of the store.
-    :param profiles: of the boxes, one each.
+    :param reading: the store's interpretation of its specification.
+    :param profiles: profile of each box.
     """
 
     def __init__(
@@ -239,7 +240,7 @@
     def _update_entry(
         self, port: int, hall: str, box: BoxServer, previous_id: str
     ) -> None:
-        """Enter a box as it is in the list, and drop its id before, if it had another."""
+        """Write the list entry of a box, and delete that of its previous id, if any."""
         entry = {
             "born": box.model.started_ms,
             "service": "pool",
@@ -309,7 +310,7 @@
 
 
 def main() -> None:
-    """Run the platform in small until the process is ended."""
+    """Run the stand-in platform until the process is terminated."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--ip", default="127.0.0.1")
     parser.add_argument("--port", type=int, required=True)
@@ -317,7 +318,10 @@
     parser.add_argument("--reading", choices=[*READINGS, DRAWN], default="plain")
     parser.add_argument("--profiles", choices=["plain", DRAWN], default="plain")
     parser.add_argument(
-        "--ends-told", type=EndsTold, default=PLAIN_BOX.ends_told, help="of plain boxes"
+        "--ends-told",
+        type=EndsTold,
+        default=PLAIN_BOX.ends_told,
+        help="how plain boxes apply an acknowledged number",
     )
     parser.add_argument("--seed", type=int, default=0)
     arguments = parser.parse_args()
