--- a/src/granitetrestle_standins/boxprofiles.py
+++ b/src/granitetrestle_standins/boxprofiles.py
@@ -61,7 +61,7 @@
     :param hold_max_s: longest lease by its own clock.
     :param clock_rate: seconds on its clock per real second.
     :param clock_origin_s: value of its clock when it starts.
-    :param longest_stop_s: longest duration of a stop.
+    :param max_stop_s: longest duration of a stop.
     :param resources: capacity that it enforces; ``None`` if it starts every task.
     :param rechecks_long_polls: whether a long poll is checked and renews the lease
         repeatedly while it waits, or only once on arrival.
--- a/src/granitetrestle_standins/boxserver.py
+++ b/src/granitetrestle_standins/boxserver.py
@@ -45,8 +45,8 @@
     and executes each some seconds later; ``POST /test/crash?s=S`` ends the incarnation
     and starts another after S seconds, under another id or, with ``keep=1``, under the
     same one; with ``list=S`` it is listed S seconds after its start; ``POST
-    /test/runs`` returns each run, with :meth:`.BoxModel.end_counts` as the last column; ``POST
-    /test/facts`` returns everything that its incarnations recorded.
+    /test/runs`` returns each run, with :meth:`.BoxModel.end_counts` as the last column;
+    ``POST /test/facts`` returns everything that its incarnations recorded.
 
     :param update_entry: called with the box to list, and with its previous id if that
         is to be removed, otherwise an empty string.
