--- a/features/steps/link_fault_steps.py
+++ b/features/steps/link_fault_steps.py
@@ -11,17 +11,17 @@
 from behave import then
 from behave import when
 
-from granitetrestle_standins.linkfaults import EVERYBODY
+from granitetrestle_standins.linkfaults import ALL_OTHERS
 from granitetrestle_standins.linkfaults import Fault
 from granitetrestle_standins.linkfaults import FaultKind
 from granitetrestle_standins.linkfaults import Place
 from granitetrestle_standins.linkfaults import PlaceKind
 from granitetrestle_standins.linkfaults import Topology
 from granitetrestle_standins.linkproxy import LinkProxy
-from granitetrestle_standins.linkviews import PassedOn
+from granitetrestle_standins.linkviews import Passthrough
 
 
-class TwoPlaces:
+class ProxiedConnection:
     """A process that connects to another one, each a plain socket, with a proxy between
     them. The loop runs only while a step waits."""
 
@@ -30,7 +30,7 @@
         self.arrived = collections.defaultdict(bytes)
         self.ended = {}
         self.accepted = []
-        self.following = []
+        self.collectors = []
         self.sent_at = 0.0
         self.loop.run_until_complete(self.start())
 
@@ -47,12 +47,12 @@
         ip, _, port = self.proxy.view("n1", address).rpartition(":")
         self.address = (ip, int(port))
         self.reader, self.writer = await asyncio.open_connection(*self.address)
-        self.follow("n1", self.reader)
+        self.start_collecting("n1", self.reader)
         while not self.accepted:
             await asyncio.sleep(0.001)
 
-    def follow(self, name, reader):
-        self.following.append(self.loop.create_task(self.collect(name, reader)))
+    def start_collecting(self, name, reader):
+        self.collectors.append(self.loop.create_task(self.collect(name, reader)))
 
     async def collect(self, name, reader):
         try:
@@ -65,13 +65,13 @@
     async def serve(self, reader, writer):
         self.accepted.append(writer)
         if len(self.accepted) == 1:
-            self.follow("n2", reader)
+            self.start_collecting("n2", reader)
             return
         with contextlib.suppress(OSError):
             while data := await reader.read(100):
                 writer.write(data)
 
-    def until(self, condition, seconds):
+    def wait_until(self, condition, seconds):
         async def wait():
             end = time.monotonic() + seconds
             while not condition() and time.monotonic() < end:
@@ -81,7 +81,7 @@
         return self.loop.run_until_complete(wait())
 
     def wait(self, seconds):
-        self.until(lambda: False, seconds)
+        self.wait_until(lambda: False, seconds)
 
     async def echo(self, seconds):
         """Say whether a new connection carries bytes both ways in time."""
@@ -115,12 +115,14 @@
 
 @given("a link from n1 to n2 with an open connection")
 def plain_link(context):
-    context.cluster = TwoPlaces()
+    context.cluster = ProxiedConnection()
 
 
-def disturb(context, kind, amount=0.0, source="n1", target="n2", both=True):
+def set_fault(context, kind, amount=0.0, source="n1", target="n2", both=True):
     async def act():
-        context.cluster.proxy.set(Fault(FaultKind(kind), source, target, both, amount))
+        context.cluster.proxy.set_fault(
+            Fault(FaultKind(kind), source, target, both, amount)
+        )
 
     context.cluster.loop.run_until_complete(act())
     context.cluster.wait(0.005)
@@ -128,31 +130,31 @@
 
 @when("the link is cut")
 def cut(context):
-    disturb(context, "cut")
+    set_fault(context, "cut")
 
 
 @when("the link is cut from {source} to {target} only")
 def cut_one_way(context, source, target):
-    disturb(context, "cut", 0.0, source, target, False)
+    set_fault(context, "cut", 0.0, source, target, False)
 
 
 @when("the link has the fault {kind:w} of {amount:g} from {source} to {target} only")
 def fault_one_way(context, kind, amount, source, target):
-    disturb(context, kind, amount, source, target, False)
+    set_fault(context, kind, amount, source, target, False)
 
 
 @when("the link has the fault {kind:w} from {source} to {target} only")
 def fault_without_amount(context, kind, source, target):
-    disturb(context, kind, 0.0, source, target, False)
+    set_fault(context, kind, 0.0, source, target, False)
 
 
 @when("the link has the fault {kind:w}")
 def fault_both(context, kind):
-    disturb(context, kind)
+    set_fault(context, kind)
 
 
 @when("the links are good again")
-def good_again(context):
+def heal_links(context):
     async def act():
         context.cluster.proxy.heal()
 
@@ -181,12 +183,14 @@
     assert name not in context.cluster.ended, context.cluster.ended
 
 
-def arrives(context, name, data, least, most):
-    two = context.cluster
-    assert two.until(lambda: two.arrived[name] == data, most), two.arrived
-    took = time.monotonic() - two.sent_at
-    assert took >= least, took
-    two.arrived[name] = b""
+def arrives(context, name, data, min_s, max_s):
+    connection = context.cluster
+    assert connection.wait_until(lambda: connection.arrived[name] == data, max_s), (
+        connection.arrived
+    )
+    took = time.monotonic() - connection.sent_at
+    assert took >= min_s, took
+    connection.arrived[name] = b""
 
 
 @then('"{text}" arrives at {name:w} within {seconds:g} seconds')
@@ -194,26 +198,30 @@
     arrives(context, name, text.encode(), 0.0, seconds)
 
 
-@then('"{text}" arrives at {name:w} after {least:g} to {most:g} seconds')
-def arrives_after(context, text, name, least, most):
-    arrives(context, name, text.encode(), least, most)
+@then('"{text}" arrives at {name:w} after {min_s:g} to {max_s:g} seconds')
+def arrives_after(context, text, name, min_s, max_s):
+    arrives(context, name, text.encode(), min_s, max_s)
 
 
-@then("all {size:d} bytes arrive at {name:w} after {least:g} to {most:g} seconds")
-def bytes_arrive(context, size, name, least, most):
-    arrives(context, name, bytes(size), least, most)
+@then("all {size:d} bytes arrive at {name:w} after {min_s:g} to {max_s:g} seconds")
+def bytes_arrive(context, size, name, min_s, max_s):
+    arrives(context, name, bytes(size), min_s, max_s)
 
 
 @then("n2 sees the end of the open connection")
 def sees_end(context):
-    two = context.cluster
-    assert two.until(lambda: two.ended.get("n2") == "end", 1.0), two.ended
+    connection = context.cluster
+    assert connection.wait_until(lambda: connection.ended.get("n2") == "end", 1.0), (
+        connection.ended
+    )
 
 
 @then("n1 sees a reset of the open connection")
 def sees_reset(context):
-    two = context.cluster
-    assert two.until(lambda: two.ended.get("n1") == "reset", 1.0), two.ended
+    connection = context.cluster
+    assert connection.wait_until(lambda: connection.ended.get("n1") == "reset", 1.0), (
+        connection.ended
+    )
 
 
 @then("no new connection comes about within {seconds:g} seconds")
@@ -259,27 +267,27 @@
     )
 
 
-def check_ways(context, source, target):
+def check_directions(context, source, target):
     wanted = {(row["source"], row["target"]) for row in context.table}
-    one_way = context.topology.ways(Fault(FaultKind.CUT, source, target, False))
+    one_way = context.topology.directions(Fault(FaultKind.CUT, source, target, False))
     assert set(one_way) == wanted, one_way
-    both = context.topology.ways(Fault(FaultKind.CUT, source, target))
+    both = context.topology.directions(Fault(FaultKind.CUT, source, target))
     assert set(both) == wanted | {(b, a) for a, b in wanted}, both
 
 
 @then("a cut of {hall:S} is about these ways")
-def ways_of_hall(context, hall):
-    check_ways(context, hall, EVERYBODY)
+def directions_of_hall(context, hall):
+    check_directions(context, hall, ALL_OTHERS)
 
 
 @then("a cut of {source:S} and {target:S} is about these ways")
-def ways_of_halls(context, source, target):
-    check_ways(context, source, target)
+def directions_of_halls(context, source, target):
+    check_directions(context, source, target)
 
 
 @when("the proxy fails over bytes that n1 sends")
 def proxy_fails(context):
-    with unittest.mock.patch.object(PassedOn, "feed", side_effect=ZeroDivisionError):
+    with unittest.mock.patch.object(Passthrough, "feed", side_effect=ZeroDivisionError):
         context.cluster.send("n1", b"a")
         context.cluster.wait(0.05)
 
@@ -288,7 +296,7 @@
 def ends_with_failure(context):
     async def failure():
         async with asyncio.timeout(1.0):
-            await context.cluster.proxy.failed()
+            await context.cluster.proxy.wait_for_failure()
 
     try:
         context.cluster.loop.run_until_complete(failure())
--- a/features/steps/link_view_steps.py
+++ b/features/steps/link_view_steps.py
@@ -67,7 +67,7 @@
             stream += frame(1, b"token") + frame(0, encode_envelope(envelope))
         out = b"".join(frames.feed(piece) for piece in pieces(stream, size))
         assert out.startswith(greeting + ready), out[:100]
-        assert not frames.rest()
+        assert not frames.flush()
         context.received.append(parse(out[len(greeting + ready) :]))
 
 
--- a/features/steps/linked_cluster_steps.py
+++ b/features/steps/linked_cluster_steps.py
@@ -101,12 +101,12 @@
     cluster = context.cluster
     places = json.loads((context.folder / "links.json").read_text())
     real = {address for _, _, addresses in places.values() for address in addresses}
-    carried = [a for a in connections(cluster.processes["links"].pid) if a in real]
+    proxied = [a for a in connections(cluster.processes["links"].pid) if a in real]
     peers = {places[name][2][0] for name in cluster.nodes()}
     boxes = {places[f"b{number}"][2][0] for number in range(cluster.boxes)}
-    assert peers <= set(carried), (peers, carried)
-    assert boxes <= set(carried), (boxes, carried)
-    assert places["store"][2][0] in carried, carried
+    assert peers <= set(proxied), (peers, proxied)
+    assert boxes <= set(proxied), (boxes, proxied)
+    assert places["store"][2][0] in proxied, proxied
     for name in cluster.nodes():
         direct = [a for a in connections(cluster.processes[name].pid) if a in real]
         assert not direct, (name, direct)
@@ -118,10 +118,10 @@
     cluster.submit(JOB, TWO_STEPS, spec="1500")
     cluster.wait(lambda: len(cluster.history()) == 3, "first step started")
     context.before = cluster.leader()
-    began = time.monotonic()
+    started = time.monotonic()
     cluster.links.isolate(context.before)
     cluster.wait(lambda: cluster.leader() != context.before, "another", seconds)
-    time.sleep(max(0.0, began + seconds - time.monotonic()))
+    time.sleep(max(0.0, started + seconds - time.monotonic()))
     context.meanwhile = cluster.leader()
     cluster.links.heal()
 
@@ -167,10 +167,12 @@
     context.cluster.links.cut_hall(hall)
 
 
-@then("a call of a client to {cut_off:w} is not answered, and one to {well:w} is")
-def answered(context, cut_off, well):
+@then("a call of a client to {cut_off:w} is not answered, and one to {reachable:w} is")
+def answered(context, cut_off, reachable):
     cluster = context.cluster
-    cluster.wait(lambda: cluster.state(JOB, well) == "gone", f"{well} answers")
+    cluster.wait(
+        lambda: cluster.state(JOB, reachable) == "gone", f"{reachable} answers"
+    )
     assert cluster.state(JOB, cut_off) is None
 
 
--- a/src/granitetrestle_standins/linkfaults.py
+++ b/src/granitetrestle_standins/linkfaults.py
@@ -6,7 +6,7 @@
 import typing as t
 
 __all__ = [
-    "EVERYBODY",
+    "ALL_OTHERS",
     "Fault",
     "FaultKind",
     "LinkFaultError",
@@ -17,12 +17,12 @@
     "UnknownHall",
     "UnknownLink",
     "UnusableAmount",
-    "Way",
+    "Direction",
     "decode_fault",
 ]
 
 # In place of a name: all who are not on the other side.
-EVERYBODY: t.Final = "*"
+ALL_OTHERS: t.Final = "*"
 
 
 class LinkFaultError(ValueError):
@@ -65,13 +65,15 @@
     LATE = "late"
 
 
-_WITH_AMOUNT: t.Final = frozenset({FaultKind.DELAY, FaultKind.SLOW, FaultKind.LATE})
+_KINDS_WITH_AMOUNT: t.Final = frozenset(
+    {FaultKind.DELAY, FaultKind.SLOW, FaultKind.LATE}
+)
 
 
 class Fault(t.NamedTuple):
     """One fault.
 
-    :param source: a place, a data hall, or :data:`EVERYBODY`; ``target`` as well.
+    :param source: a place, a data hall, or :data:`ALL_OTHERS`; ``target`` as well.
     :param both: whether the way back is faulty too.
     :param amount: seconds or bytes a second, see :class:`FaultKind`.
     """
@@ -83,7 +85,7 @@
     amount: float = 0.0
 
 
-class Way(t.NamedTuple):
+class Direction(t.NamedTuple):
     """One direction between two places."""
 
     source: str
@@ -99,7 +101,7 @@
     CLIENT = "client"
 
 
-_LINKED: t.Final = frozenset(
+_LINKED_KINDS: t.Final = frozenset(
     {
         frozenset({PlaceKind.NODE}),
         frozenset({PlaceKind.NODE, PlaceKind.BOX}),
@@ -143,37 +145,37 @@
             raise UnknownHall(f"no data hall {hall!r}; there are {sorted(self._halls)}")
         return tuple(self._halls[hall])
 
-    def linked(self, one: str, other: str) -> bool:
+    def are_linked(self, one: str, other: str) -> bool:
         """Say whether a link joins two places."""
         kinds = frozenset({self.places[one].kind, self.places[other].kind})
-        return one != other and kinds in _LINKED
+        return one != other and kinds in _LINKED_KINDS
 
-    def ways(self, fault: Fault) -> tuple[Way, ...]:
+    def directions(self, fault: Fault) -> tuple[Direction, ...]:
         """Return the directions that a fault is about.
 
         :raises UnknownLink: naming what joins no link.
         :raises UnusableAmount: naming the amount.
         """
         _check_amount(fault)
-        sources, targets = self._named(fault.source), self._named(fault.target)
-        if fault.target == EVERYBODY:
-            targets -= sources if fault.source != EVERYBODY else set()
-        elif fault.source == EVERYBODY:
+        sources, targets = self._resolve(fault.source), self._resolve(fault.target)
+        if fault.target == ALL_OTHERS:
+            targets -= sources if fault.source != ALL_OTHERS else set()
+        elif fault.source == ALL_OTHERS:
             sources -= targets
-        ways = [
-            Way(source, target)
+        directions = [
+            Direction(source, target)
             for source in sorted(sources)
             for target in sorted(targets)
-            if self.linked(source, target)
+            if self.are_linked(source, target)
         ]
-        if not ways:
+        if not directions:
             raise UnknownLink(f"no link joins {fault.source!r} and {fault.target!r}")
         if fault.both:
-            ways += [Way(target, source) for source, target in ways]
-        return tuple(dict.fromkeys(ways))
+            directions += [Direction(target, source) for source, target in directions]
+        return tuple(dict.fromkeys(directions))
 
-    def _named(self, name: str) -> set[str]:
-        if name == EVERYBODY:
+    def _resolve(self, name: str) -> set[str]:
+        if name == ALL_OTHERS:
             return set(self.places)
         if name in self._halls:
             return set(self._halls[name])
@@ -183,7 +185,7 @@
 
 
 def _check_amount(fault: Fault) -> None:
-    if fault.kind not in _WITH_AMOUNT:
+    if fault.kind not in _KINDS_WITH_AMOUNT:
         if fault.amount:
             raise UnusableAmount(f"{fault.kind} takes no amount: {fault.amount!r}")
         return
--- a/src/granitetrestle_standins/linkpipes.py
+++ b/src/granitetrestle_standins/linkpipes.py
@@ -14,13 +14,13 @@
 __all__ = ["Condition", "Pipe", "reset_socket"]
 
 # Bytes taken at a time.
-CHUNK: t.Final = 65536
+CHUNK_BYTES: t.Final = 65536
 # Chunks on their way in one direction of a connection; then nothing more is read.
-MOST_ON_THE_WAY: t.Final = 64
+MAX_IN_FLIGHT_CHUNKS: t.Final = 64
 # How often something that waits looks whether the fault is over.
-RECHECK_S: t.Final = 0.02
+RECHECK_INTERVAL_S: t.Final = 0.02
 # A slow way delivers what it may in so long at a time.
-SLOW_STEP_S: t.Final = 0.05
+SLOW_INTERVAL_S: t.Final = 0.05
 NO_LINGER: t.Final = struct.pack("ii", 1, 0)
 
 
@@ -35,7 +35,7 @@
 
     def __init__(self) -> None:
         self._passable = asyncio.Event()
-        self._free_at = 0.0
+        self._next_free_at = 0.0
         self.heal()
 
     @property
@@ -55,17 +55,17 @@
         """Let nothing pass."""
         self._passable.clear()
 
-    async def passable(self) -> None:
+    async def wait_passable(self) -> None:
         """Return once something may pass."""
         await self._passable.wait()
 
-    def take_turn(self, size: int, now: float) -> float:
+    def reserve(self, size: int, now: float) -> float:
         """Return when ``size`` bytes have passed, one after the other for all."""
-        self._free_at = max(self._free_at, now) + size / self.bytes_per_s
-        return self._free_at
+        self._next_free_at = max(self._next_free_at, now) + size / self.bytes_per_s
+        return self._next_free_at
 
 
-class _Arrived(t.NamedTuple):
+class _Chunk(t.NamedTuple):
     """Bytes at the proxy, or the end of them.
 
     :param at: seconds on the loop's clock.
@@ -91,44 +91,47 @@
         writer: asyncio.StreamWriter,
         condition: Condition,
         rewriter: Rewriter,
-        asked: Condition | None,
+        request_condition: Condition | None,
     ) -> None:
         self._reader = reader
         self._writer = writer
         self._condition = condition
         self._rewriter = rewriter
-        self._asked = asked
-        self._silenced = False
-        self._on_the_way: asyncio.Queue[_Arrived] = asyncio.Queue(MOST_ON_THE_WAY)
+        self._request_condition = request_condition
+        self._answer_lost = False
+        self._in_flight: asyncio.Queue[_Chunk] = asyncio.Queue(MAX_IN_FLIGHT_CHUNKS)
         self.held_until = 0.0
 
     async def run(self) -> None:
         """Carry bytes until their end was delivered."""
         async with asyncio.TaskGroup() as tasks:
-            taking = tasks.create_task(self._take())
+            receiving = tasks.create_task(self._receive())
             await self._deliver()
-            taking.cancel()
+            receiving.cancel()
 
-    async def _take(self) -> None:
+    async def _receive(self) -> None:
         now = asyncio.get_running_loop().time
         try:
-            while data := await self._reader.read(CHUNK):
-                if whole := self._rewriter.feed(data):
-                    await self._on_the_way.put(_Arrived(now(), whole))
-            if rest := self._rewriter.rest():
-                await self._on_the_way.put(_Arrived(now(), rest))
+            while data := await self._reader.read(CHUNK_BYTES):
+                if rewritten := self._rewriter.feed(data):
+                    await self._in_flight.put(_Chunk(now(), rewritten))
+            if rest := self._rewriter.flush():
+                await self._in_flight.put(_Chunk(now(), rest))
         except OSError:
-            await self._on_the_way.put(_Arrived(now(), b"", was_reset=True))
+            await self._in_flight.put(_Chunk(now(), b"", was_reset=True))
         else:
-            await self._on_the_way.put(_Arrived(now(), b""))
+            await self._in_flight.put(_Chunk(now(), b""))
 
     async def _deliver(self) -> None:
         while True:
-            arrived = await self._on_the_way.get()
+            arrived = await self._in_flight.get()
             await self._wait(arrived.at)
-            if self._asked is not None and self._asked.loses_answers:
-                self._silenced = True
-            if self._silenced:
+            if (
+                self._request_condition is not None
+                and self._request_condition.loses_answers
+            ):
+                self._answer_lost = True
+            if self._answer_lost:
                 if not arrived.data:
                     return
                 continue
@@ -147,21 +150,21 @@
     async def _wait(self, arrived_at: float) -> None:
         now = asyncio.get_running_loop().time
         while True:
-            await self._condition.passable()
+            await self._condition.wait_passable()
             due = max(arrived_at + self._condition.delay_s, self.held_until)
             if due <= now():
                 return
-            await asyncio.sleep(min(due - now(), RECHECK_S))
+            await asyncio.sleep(min(due - now(), RECHECK_INTERVAL_S))
 
     async def _write(self, data: bytes) -> None:
         now = asyncio.get_running_loop().time
         while data:
             step = len(data)
             if rate := self._condition.bytes_per_s:
-                step = max(1, int(rate * SLOW_STEP_S))
-                turn = self._condition.take_turn(len(data[:step]), now())
+                step = max(1, int(rate * SLOW_INTERVAL_S))
+                turn = self._condition.reserve(len(data[:step]), now())
                 await asyncio.sleep(max(0.0, turn - now()))
-                await self._condition.passable()
+                await self._condition.wait_passable()
             self._writer.write(data[:step])
             await self._writer.drain()
             data = data[step:]
@@ -170,45 +173,47 @@
 class Pipe:
     """A connection that was accepted, and the one to where it leads.
 
-    :param there: condition of the way from who connected; ``back`` of the way back.
+    :param there: condition of the way from who connected; ``backward`` of the way back.
     """
 
     def __init__(
         self,
-        there: Condition,
-        back: Condition,
-        asking: Rewriter,
-        answering: Rewriter,
+        forward: Condition,
+        backward: Condition,
+        request_rewriter: Rewriter,
+        answer_rewriter: Rewriter,
     ) -> None:
-        self._there = there
-        self._back = back
-        self._rewriters = (asking, answering)
+        self._forward = forward
+        self._backward = backward
+        self._rewriters = (request_rewriter, answer_rewriter)
         self._flows: tuple[_Flow, ...] = ()
         self._writers: tuple[asyncio.StreamWriter, ...] = ()
 
     async def run(self, accepted: socket.socket, target: tuple[str, int]) -> None:
         """Carry bytes until both sides have ended."""
-        if self._there.reset or self._back.reset:
+        if self._forward.reset or self._backward.reset:
             reset_socket(accepted)
             return
-        near_reader, near = await asyncio.open_connection(sock=accepted)
-        self._writers = (near,)
+        client_reader, client = await asyncio.open_connection(sock=accepted)
+        self._writers = (client,)
         try:
-            far_reader, far = await asyncio.open_connection(*target)
+            server_reader, server = await asyncio.open_connection(*target)
         except OSError:
             # Nobody listens there. A connection that is open can't be refused any more.
             self.reset()
             return
-        self._writers = (near, far)
+        self._writers = (client, server)
         for writer in self._writers:
             channel = writer.get_extra_info("socket")
             # One side may have been reset while the other was opened.
             with contextlib.suppress(OSError):
                 channel.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        asking, answering = self._rewriters
+        request_rewriter, answer_rewriter = self._rewriters
         self._flows = (
-            _Flow(near_reader, far, self._there, asking, None),
-            _Flow(far_reader, near, self._back, answering, self._there),
+            _Flow(client_reader, server, self._forward, request_rewriter, None),
+            _Flow(
+                server_reader, client, self._backward, answer_rewriter, self._forward
+            ),
         )
         try:
             async with asyncio.TaskGroup() as tasks:
@@ -220,8 +225,10 @@
 
     def hold(self, condition: Condition, until: float) -> None:
         """Deliver nothing before ``until`` (s, loop's clock) in one direction."""
-        for flow, way in zip(self._flows, (self._there, self._back), strict=False):
-            if way is condition:
+        for flow, flow_condition in zip(
+            self._flows, (self._forward, self._backward), strict=False
+        ):
+            if flow_condition is condition:
                 flow.held_until = until
 
     def reset(self) -> None:
--- a/src/granitetrestle_standins/linkproxy.py
+++ b/src/granitetrestle_standins/linkproxy.py
@@ -20,75 +20,75 @@
 
 from granitetrestle.nodelog import NodeLog
 
-from .linkfaults import EVERYBODY
+from .linkfaults import ALL_OTHERS
+from .linkfaults import Direction
 from .linkfaults import Fault
 from .linkfaults import FaultKind
 from .linkfaults import LinkFaultError
 from .linkfaults import Place
 from .linkfaults import PlaceKind
 from .linkfaults import Topology
-from .linkfaults import Way
 from .linkfaults import decode_fault
 from .linkpipes import Condition
 from .linkpipes import Pipe
-from .linkviews import PassedOn
+from .linkviews import Passthrough
 from .linkviews import PeerFrames
 from .linkviews import Rewriter
 from .linkviews import StoreAnswers
 
-__all__ = ["Door", "LinkProxy", "main"]
+__all__ = ["LinkPort", "LinkProxy", "main"]
 
 BACKLOG: t.Final = 512
 # How often the proxy looks how late its own loop is.
-LAG_EVERY_S: t.Final = 0.1
+LAG_CHECK_INTERVAL_S: t.Final = 0.1
 # A decider's silence counts from 0.8 s on; what the proxy adds must stay far below.
-NOTABLE_LAG_S: t.Final = 0.1
+LAG_LOG_THRESHOLD_S: t.Final = 0.1
 
-Accepted: t.TypeAlias = t.Callable[[socket.socket], None]
+AcceptCallback: t.TypeAlias = t.Callable[[socket.socket], None]
 
 
-class Door:
+class LinkPort:
     """A port that one place reaches another one at. It is bound once and kept.
 
     :param accepted: told of each new connection.
     """
 
-    def __init__(self, ip: str, accepted: Accepted) -> None:
-        self._accepted = accepted
+    def __init__(self, ip: str, accepted: AcceptCallback) -> None:
+        self._on_accept = accepted
         self._socket = socket.socket()
         self._socket.setblocking(False)
         self._socket.bind((ip, 0))
         self._socket.listen(BACKLOG)
         self.address: tuple[str, int] = self._socket.getsockname()
         # Connections of the proxy itself that fill the queue while the door is shut.
-        self._stopper: socket.socket | None = None
-        self._stoppers: set[tuple[str, int]] = set()
+        self._blocker: socket.socket | None = None
+        self._blocker_addresses: set[tuple[str, int]] = set()
         self._loop = asyncio.get_running_loop()
         self._loop.add_reader(self._socket, self._accept)
 
-    def shut(self) -> None:
+    def block(self) -> None:
         """Let no connection come about: who tries is not answered."""
-        if self._stopper is not None:
+        if self._blocker is not None:
             return
         self._loop.remove_reader(self._socket)
         # A queue without room still takes one connection.
         self._socket.listen(0)
-        self._stopper = socket.socket()
-        self._stopper.setblocking(False)
-        self._stopper.connect_ex(self.address)
+        self._blocker = socket.socket()
+        self._blocker.setblocking(False)
+        self._blocker.connect_ex(self.address)
 
-    def open(self) -> None:
+    def unblock(self) -> None:
         """Let connections come about again."""
-        if self._stopper is None:
+        if self._blocker is None:
             return
         try:
-            self._stopper.getpeername()
-            self._stoppers.add(self._stopper.getsockname())
+            self._blocker.getpeername()
+            self._blocker_addresses.add(self._blocker.getsockname())
         except OSError:
             # The queue was full without it.
             pass
-        self._stopper.close()
-        self._stopper = None
+        self._blocker.close()
+        self._blocker = None
         self._socket.listen(BACKLOG)
         self._loop.add_reader(self._socket, self._accept)
 
@@ -103,12 +103,12 @@
         except OSError:
             # Who connected has given up meanwhile.
             return
-        if peer in self._stoppers:
-            self._stoppers.discard(peer)
+        if peer in self._blocker_addresses:
+            self._blocker_addresses.discard(peer)
             accepted.close()
             return
         accepted.setblocking(False)
-        self._accepted(accepted)
+        self._on_accept(accepted)
 
 
 class LinkProxy:
@@ -120,57 +120,62 @@
     def __init__(self, topology: Topology, ip: str) -> None:
         self._topology = topology
         self._ip = ip
-        self._conditions: dict[Way, Condition] = collections.defaultdict(Condition)
+        self._conditions: dict[Direction, Condition] = collections.defaultdict(
+            Condition
+        )
         # By who connects and the address that the door leads to.
-        self._doors: dict[tuple[str, str], Door] = {}
-        self._pipes: dict[Way, set[Pipe]] = collections.defaultdict(set)
+        self._ports: dict[tuple[str, str], LinkPort] = {}
+        self._pipes: dict[Direction, set[Pipe]] = collections.defaultdict(set)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._names: dict[str, str] = {}
+        self._place_names: dict[str, str] = {}
         # Every address that a place may have been told -> the real one.
-        self._real: dict[str, str] = {}
+        self._real_addresses: dict[str, str] = {}
         for name, place in topology.places.items():
             for address in place.addresses:
-                self._names[address] = name
-                self._real[address] = address
+                self._place_names[address] = name
+                self._real_addresses[address] = address
         self.lag_s = 0.0
         # A connection that can't be carried for a reason of the proxy's own ends it:
         # what comes of that must not be taken for the program's doing.
         self._failed: asyncio.Future[t.Never] = asyncio.Future()
 
     def view(self, source: str, address: str) -> str:
-        """Return where ``source`` reaches what listens at ``address``.
+        """Return where ``source`` reaches name listens at ``address``.
 
         :raises LinkFaultError: if no link leads there.
         """
-        target = self._names.get(address)
+        target = self._place_names.get(address)
         if target is None or source not in self._topology.places:
             raise LinkFaultError(f"no link from {source!r} to {address!r}")
         key = (source, address)
-        if key not in self._doors:
-            way = Way(source, target)
-            door = Door(self._ip, lambda accepted: self._carry(way, address, accepted))
-            self._doors[key] = door
-            self._real[_text(door.address)] = address
-            if self._shut(way):
-                door.shut()
-        return _text(self._doors[key].address)
+        if key not in self._ports:
+            direction = Direction(source, target)
+            link_port = LinkPort(
+                self._ip,
+                lambda accepted: self._start_pipe(direction, address, accepted),
+            )
+            self._ports[key] = link_port
+            self._real_addresses[_format_address(link_port.address)] = address
+            if self._is_cut(direction):
+                link_port.block()
+        return _format_address(self._ports[key].address)
 
     def translate(self, reader: str, text: str) -> str:
         """Turn an address that somebody was told into the reader's own."""
-        real = self._real.get(text)
+        real = self._real_addresses.get(text)
         if real is None:
             return text
-        if self._names[real] == reader:
+        if self._place_names[real] == reader:
             return real
         return self.view(reader, real)
 
-    def set(self, fault: Fault) -> None:
+    def set_fault(self, fault: Fault) -> None:
         """Bring a fault about.
 
         :raises LinkFaultError: naming what is wrong with it.
         """
-        for way in self._topology.ways(fault):
-            condition = self._conditions[way]
+        for direction in self._topology.directions(fault):
+            condition = self._conditions[direction]
             if fault.kind is FaultKind.CUT:
                 condition.cut_off()
             elif fault.kind is FaultKind.DELAY:
@@ -179,70 +184,72 @@
                 condition.bytes_per_s = fault.amount
             elif fault.kind is FaultKind.RESET:
                 condition.reset = True
-                self._reset(way)
+                self._reset(direction)
             elif fault.kind is FaultKind.LOST_ANSWER:
                 condition.loses_answers = True
             else:
                 now = asyncio.get_running_loop().time()
-                self._hold(way, now + fault.amount)
-        self._doors_follow()
+                self._hold(direction, now + fault.amount)
+        self._update_ports()
 
-    def heal(self, ways: t.Iterable[Way] | None = None) -> None:
+    def heal(self, directions: t.Iterable[Direction] | None = None) -> None:
         """Let some ways be good again, or all."""
-        for way in list(self._conditions) if ways is None else ways:
-            self._conditions[way].heal()
-            self._hold(way, 0.0)
-        self._doors_follow()
+        for direction in list(self._conditions) if directions is None else directions:
+            self._conditions[direction].heal()
+            self._hold(direction, 0.0)
+        self._update_ports()
 
-    def figures(self) -> dict[str, float]:
+    def read_metrics(self) -> dict[str, float]:
         """Return how many ports and open connections there are, and how many seconds
         the proxy was late at worst since it was asked last."""
         pipes = sum(map(len, self._pipes.values()))
         lag_s, self.lag_s = self.lag_s, 0.0
-        return {"doors": len(self._doors), "connections": pipes, "lag_s": lag_s}
+        return {"doors": len(self._ports), "connections": pipes, "lag_s": lag_s}
 
-    def _shut(self, way: Way) -> bool:
-        back = Way(way.target, way.source)
-        return self._conditions[way].cut or self._conditions[back].cut
+    def _is_cut(self, direction: Direction) -> bool:
+        reverse = Direction(direction.target, direction.source)
+        return self._conditions[direction].cut or self._conditions[reverse].cut
 
-    def _doors_follow(self) -> None:
-        for (source, address), door in self._doors.items():
-            if self._shut(Way(source, self._names[address])):
-                door.shut()
+    def _update_ports(self) -> None:
+        for (source, address), link_port in self._ports.items():
+            if self._is_cut(Direction(source, self._place_names[address])):
+                link_port.block()
             else:
-                door.open()
+                link_port.unblock()
 
-    def _either(self, way: Way) -> list[Pipe]:
-        back = Way(way.target, way.source)
-        return [*self._pipes[way], *self._pipes[back]]
+    def _pipes_between(self, direction: Direction) -> list[Pipe]:
+        reverse = Direction(direction.target, direction.source)
+        return [*self._pipes[direction], *self._pipes[reverse]]
 
-    def _reset(self, way: Way) -> None:
-        for pipe in self._either(way):
+    def _reset(self, direction: Direction) -> None:
+        for pipe in self._pipes_between(direction):
             pipe.reset()
 
-    def _hold(self, way: Way, until: float) -> None:
-        for pipe in self._either(way):
-            pipe.hold(self._conditions[way], until)
+    def _hold(self, direction: Direction, until: float) -> None:
+        for pipe in self._pipes_between(direction):
+            pipe.hold(self._conditions[direction], until)
 
-    def _carry(self, way: Way, address: str, accepted: socket.socket) -> None:
-        back = Way(way.target, way.source)
+    def _start_pipe(
+        self, direction: Direction, address: str, accepted: socket.socket
+    ) -> None:
+        reverse = Direction(direction.target, direction.source)
         pipe = Pipe(
-            self._conditions[way],
-            self._conditions[back],
-            self._asking(way, address),
-            self._answering(way),
+            self._conditions[direction],
+            self._conditions[reverse],
+            self._request_rewriter(direction, address),
+            self._answer_rewriter(direction),
         )
-        task = asyncio.create_task(self._run(way, pipe, accepted, address))
+        task = asyncio.create_task(self._run(direction, pipe, accepted, address))
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None and not self._failed.done():
             self._failed.set_exception(error)
 
-    async def failed(self) -> t.Never:
+    async def wait_for_failure(self) -> t.Never:
         """Wait for a fault of the proxy itself.
 
         :raises Exception: what went wrong.
@@ -251,44 +258,44 @@
         raise AssertionError
 
     async def _run(
-        self, way: Way, pipe: Pipe, accepted: socket.socket, address: str
+        self, direction: Direction, pipe: Pipe, accepted: socket.socket, address: str
     ) -> None:
         host, _, port = address.rpartition(":")
-        self._pipes[way].add(pipe)
+        self._pipes[direction].add(pipe)
         try:
             await pipe.run(accepted, (host, int(port)))
         finally:
-            self._pipes[way].discard(pipe)
+            self._pipes[direction].discard(pipe)
 
-    def _asking(self, way: Way, address: str) -> Rewriter:
+    def _request_rewriter(self, direction: Direction, address: str) -> Rewriter:
         def translate(text: str) -> str:
-            return self.translate(way.target, text)
+            return self.translate(direction.target, text)
 
-        place = self._topology.places[way.target]
+        place = self._topology.places[direction.target]
         if place.kind is PlaceKind.NODE and address == place.addresses[0]:
             return PeerFrames(translate)
-        return PassedOn(translate)
+        return Passthrough(translate)
 
-    def _answering(self, way: Way) -> Rewriter:
+    def _answer_rewriter(self, direction: Direction) -> Rewriter:
         def translate(text: str) -> str:
-            return self.translate(way.source, text)
+            return self.translate(direction.source, text)
 
-        if self._topology.places[way.target].kind is PlaceKind.STORE:
+        if self._topology.places[direction.target].kind is PlaceKind.STORE:
             return StoreAnswers(translate)
-        return PassedOn(translate)
+        return Passthrough(translate)
 
     async def watch_lag(self, log: NodeLog) -> None:
         """Measure how late the proxy itself is, for ever."""
         while True:
-            began = time.monotonic()
-            await asyncio.sleep(LAG_EVERY_S)
-            lag_s = time.monotonic() - began - LAG_EVERY_S
+            started = time.monotonic()
+            await asyncio.sleep(LAG_CHECK_INTERVAL_S)
+            lag_s = time.monotonic() - started - LAG_CHECK_INTERVAL_S
             self.lag_s = max(self.lag_s, lag_s)
-            if lag_s > NOTABLE_LAG_S:
+            if lag_s > LAG_LOG_THRESHOLD_S:
                 log.event("links_stood_still", seconds=round(lag_s, 3))
 
 
-class Control:
+class ControlServer:
     """Takes commands, a JSON object a line, and answers each by one.
 
     ``{"do": "view", "source": NAME, "address": ADDRESS}``, ``{"do": "set", ...}`` with
@@ -307,39 +314,41 @@
         """Serve one connection."""
         while line := await reader.readline():
             try:
-                answer = self._answer(json.loads(line))
+                answer = self._execute(json.loads(line))
             except (LinkFaultError, KeyError, ValueError) as error:
                 answer = {"error": str(error)}
             writer.write(json.dumps(answer).encode() + b"\n")
             await writer.drain()
         writer.close()
 
-    def _answer(self, command: t.Mapping[str, t.Any]) -> t.Mapping[str, t.Any]:
-        what = command["do"]
-        if what == "view":
+    def _execute(self, command: t.Mapping[str, t.Any]) -> t.Mapping[str, t.Any]:
+        name = command["do"]
+        if name == "view":
             return {"view": self._proxy.view(command["source"], command["address"])}
-        if what == "set":
+        if name == "set":
             fault = decode_fault(command)
-            self._proxy.set(fault)
+            self._proxy.set_fault(fault)
             self._log.event("link_fault", **fault._asdict())
-        elif what == "heal":
-            self._proxy.heal(self._healed(command))
-            named = {key: command.get(key, EVERYBODY) for key in ("source", "target")}
+        elif name == "heal":
+            self._proxy.heal(self._directions_to_heal(command))
+            named = {key: command.get(key, ALL_OTHERS) for key in ("source", "target")}
             self._log.event("link_healed", **named)
-        elif what == "figures":
-            return self._proxy.figures()
+        elif name == "figures":
+            return self._proxy.read_metrics()
         else:
-            raise LinkFaultError(f"no command {what!r}")
+            raise LinkFaultError(f"no command {name!r}")
         return {}
 
-    def _healed(self, command: t.Mapping[str, t.Any]) -> t.Iterable[Way] | None:
+    def _directions_to_heal(
+        self, command: t.Mapping[str, t.Any]
+    ) -> t.Iterable[Direction] | None:
         if "source" not in command:
             return None
         fault = Fault(FaultKind.CUT, command["source"], command["target"])
-        return self._topology.ways(fault)
+        return self._topology.directions(fault)
 
 
-def _text(address: tuple[str, int]) -> str:
+def _format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
 
 
@@ -358,11 +367,11 @@
     proxy = LinkProxy(topology, ip)
     # In the form of the processes' own logs, so that one timeline can hold both.
     log = NodeLog(node="links")
-    control = Control(topology, proxy, log)
+    control = ControlServer(topology, proxy, log)
     server = await asyncio.start_server(control.serve, ip, port)
     async with server, asyncio.TaskGroup() as tasks:
         tasks.create_task(proxy.watch_lag(log))
-        tasks.create_task(proxy.failed())
+        tasks.create_task(proxy.wait_for_failure())
         tasks.create_task(server.serve_forever())
 
 
--- a/src/granitetrestle_standins/links.py
+++ b/src/granitetrestle_standins/links.py
@@ -8,7 +8,7 @@
 import time
 import typing as t
 
-from .linkfaults import EVERYBODY
+from .linkfaults import ALL_OTHERS
 from .linkfaults import Fault
 from .linkfaults import FaultKind
 from .linkfaults import LinkFaultError
@@ -21,9 +21,9 @@
 CLIENT: t.Final = "client"
 STORE: t.Final = "store"
 # The proxy answers a command within some ms; started beside many others, later.
-ANSWER_S: t.Final = 10.0
-START_S: t.Final = 20.0
-RETRY_S: t.Final = 0.05
+ANSWER_TIMEOUT_S: t.Final = 10.0
+START_TIMEOUT_S: t.Final = 20.0
+CONNECT_RETRY_INTERVAL_S: t.Final = 0.05
 
 
 class RigFault(RuntimeError):
@@ -49,32 +49,32 @@
         self._lines = self._socket.makefile("rb")
 
     def _connect(self, control: tuple[str, int]) -> socket.socket:
-        end = time.monotonic() + START_S
+        end = time.monotonic() + START_TIMEOUT_S
         while True:
             self.check()
             try:
-                return socket.create_connection(control, ANSWER_S)
+                return socket.create_connection(control, ANSWER_TIMEOUT_S)
             except OSError as error:
                 if time.monotonic() > end:
                     raise RigFault(f"the proxy did not start: {error!r}") from error
-            time.sleep(RETRY_S)
+            time.sleep(CONNECT_RETRY_INTERVAL_S)
 
     def view(self, source: str, address: str) -> str:
-        """Return where ``source`` reaches what listens at ``address``."""
-        return str(self._do("view", source=source, address=address)["view"])
+        """Return where ``source`` reaches command listens at ``address``."""
+        return str(self._send_command("view", source=source, address=address)["view"])
 
-    def set(self, fault: Fault) -> None:
+    def set_fault(self, fault: Fault) -> None:
         """Bring a fault about.
 
         :raises LinkFaultError: naming what is wrong with it, before anything happens.
         :raises RigFault: if the proxy does not do it.
         """
-        self._topology.ways(fault)
-        self._do("set", **fault._asdict())
+        self._topology.directions(fault)
+        self._send_command("set", **fault._asdict())
 
     def cut(self, source: str, target: str, one_way: bool = False) -> None:
         """Let nothing pass from a place or hall to another one, nor back."""
-        self.set(Fault(FaultKind.CUT, source, target, not one_way))
+        self.set_fault(Fault(FaultKind.CUT, source, target, not one_way))
 
     def cut_hall(self, hall: str, one_way: bool = False) -> None:
         """Let nothing pass between a data hall and everything outside it.
@@ -83,27 +83,27 @@
         :raises UnknownHall: naming the hall.
         """
         self._topology.hall(hall)
-        self.cut(hall, EVERYBODY, one_way)
+        self.cut(hall, ALL_OTHERS, one_way)
 
     def isolate(self, node: str, with_clients: bool = False) -> None:
         """Cut a process off from the store, all boxes and all other processes."""
         for name, place in self._topology.places.items():
             if place.kind is PlaceKind.CLIENT and not with_clients:
                 continue
-            if self._topology.linked(node, name):
+            if self._topology.are_linked(node, name):
                 self.cut(node, name)
 
     def heal(self, source: str | None = None, target: str | None = None) -> None:
         """Let the links between two be good again, or all."""
         if source is None or target is None:
-            self._do("heal")
+            self._send_command("heal")
             return
-        self._topology.ways(Fault(FaultKind.CUT, source, target))
-        self._do("heal", source=source, target=target)
+        self._topology.directions(Fault(FaultKind.CUT, source, target))
+        self._send_command("heal", source=source, target=target)
 
-    def figures(self) -> dict[str, float]:
+    def read_metrics(self) -> dict[str, float]:
         """Return the ports, the open connections, and how late the proxy was (s)."""
-        return dict(self._do("figures"))
+        return dict(self._send_command("figures"))
 
     def check(self) -> None:
         """Return if the proxy is at work.
@@ -119,10 +119,12 @@
         self._lines.close()
         self._socket.close()
 
-    def _do(self, what: str, **more: t.Any) -> t.Mapping[str, t.Any]:
+    def _send_command(self, command: str, **arguments: t.Any) -> t.Mapping[str, t.Any]:
         self.check()
         try:
-            self._socket.sendall(json.dumps({"do": what, **more}).encode() + b"\n")
+            self._socket.sendall(
+                json.dumps({"do": command, **arguments}).encode() + b"\n"
+            )
             line = self._lines.readline()
         except OSError as error:
             raise RigFault(f"the proxy of the links is gone: {error!r}") from error
--- a/src/granitetrestle_standins/linkviews.py
+++ b/src/granitetrestle_standins/linkviews.py
@@ -19,19 +19,19 @@
 
 import msgspec
 
-__all__ = ["PassedOn", "PeerFrames", "Rewriter", "StoreAnswers", "Translate"]
+__all__ = ["Passthrough", "PeerFrames", "Rewriter", "StoreAnswers", "Translate"]
 
 Translate: t.TypeAlias = t.Callable[[str], str]
 
 # All addresses begin so; what holds none of them is passed on without decoding it.
 ADDRESS_PREFIX: t.Final = b"127."
 # ZMTP 3: bytes of the greeting, and the flags of a frame.
-GREETING: t.Final = 64
+GREETING_BYTES: t.Final = 64
 FLAG_LONG: t.Final = 2
 FLAG_COMMAND: t.Final = 4
-SHORT_FRAME: t.Final = 255
+MAX_SHORT_FRAME_BYTES: t.Final = 255
 # Bytes before the records in the answer to a read of the store.
-READ_HEAD: t.Final = 16
+READ_HEADER_BYTES: t.Final = 16
 
 
 class Rewriter(abc.ABC):
@@ -42,31 +42,31 @@
 
     def __init__(self, translate: Translate) -> None:
         self._translate = translate
-        self._held = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
         """Take bytes; return those that are complete, translated."""
-        self._held += data
-        passed = b""
-        while (message := self._take()) is not None:
-            passed += message
-        return passed
+        self._buffer += data
+        complete = b""
+        while (message := self._next_message()) is not None:
+            complete += message
+        return complete
 
-    def rest(self) -> bytes:
+    def flush(self) -> bytes:
         """Return what is left when the stream ends."""
-        held, self._held = self._held, b""
-        return held
+        remaining, self._buffer = self._buffer, b""
+        return remaining
 
     @abc.abstractmethod
-    def _take(self) -> bytes | None:
+    def _next_message(self) -> bytes | None:
         """Take the first whole message from what is held, if there is one."""
 
 
-class PassedOn(Rewriter):
+class Passthrough(Rewriter):
     """Translates nothing."""
 
-    def _take(self) -> bytes | None:
-        return self.rest() or None
+    def _next_message(self) -> bytes | None:
+        return self.flush() or None
 
 
 class PeerFrames(Rewriter):
@@ -75,35 +75,35 @@
 
     def __init__(self, translate: Translate) -> None:
         super().__init__(translate)
-        self._greeting_left = GREETING
+        self._greeting_left = GREETING_BYTES
 
-    def _take(self) -> bytes | None:
-        if self._greeting_left and self._held:
+    def _next_message(self) -> bytes | None:
+        if self._greeting_left and self._buffer:
             # Either side sends the rest of its greeting once it has seen the other's start.
-            start = self._cut(self._greeting_left)
+            start = self._consume(self._greeting_left)
             self._greeting_left -= len(start)
             return start
-        if len(self._held) < 2:
+        if len(self._buffer) < 2:
             return None
-        flags = self._held[0]
+        flags = self._buffer[0]
         head = 9 if flags & FLAG_LONG else 2
-        if len(self._held) < head:
+        if len(self._buffer) < head:
             return None
-        size = int.from_bytes(self._held[1:head], "big")
-        if len(self._held) < head + size:
+        size = int.from_bytes(self._buffer[1:head], "big")
+        if len(self._buffer) < head + size:
             return None
-        frame = self._cut(head + size)
+        frame = self._consume(head + size)
         if flags & FLAG_COMMAND or ADDRESS_PREFIX not in frame:
             return frame
-        return _framed(flags, _packed(frame[head:], self._translate))
+        return _encode_frame(flags, _translate_msgpack(frame[head:], self._translate))
 
-    def _cut(self, length: int) -> bytes:
-        taken, self._held = self._held[:length], self._held[length:]
+    def _consume(self, length: int) -> bytes:
+        taken, self._buffer = self._buffer[:length], self._buffer[length:]
         return taken
 
 
-def _framed(flags: int, body: bytes) -> bytes:
-    if len(body) <= SHORT_FRAME:
+def _encode_frame(flags: int, body: bytes) -> bytes:
+    if len(body) <= MAX_SHORT_FRAME_BYTES:
         return bytes((flags & ~FLAG_LONG, len(body))) + body
     return bytes((flags | FLAG_LONG,)) + len(body).to_bytes(8, "big") + body
 
@@ -112,34 +112,36 @@
     """Translates the store's answers over HTTP: pages of the newest records, which are
     JSON with values in base64, and records from an offset on, which are binary."""
 
-    def _take(self) -> bytes | None:
-        head, end, rest = self._held.partition(b"\r\n\r\n")
+    def _next_message(self) -> bytes | None:
+        head, end, rest = self._buffer.partition(b"\r\n\r\n")
         if not end:
             return None
         length = _content_length(head)
         if length is None or len(rest) < length:
             # Without a length the answer is none of those that hold addresses.
-            return None if length is not None else self.rest()
-        body, self._held = rest[:length], rest[length:]
-        translated = self._body(body)
-        return _with_length(head, len(translated)) + end + translated
+            return None if length is not None else self.flush()
+        body, self._buffer = rest[:length], rest[length:]
+        translated = self._translate_body(body)
+        return _set_content_length(head, len(translated)) + end + translated
 
-    def _body(self, body: bytes) -> bytes:
+    def _translate_body(self, body: bytes) -> bytes:
         try:
             if body[:1] == b"{":
-                return self._page(body)
-            return body[:READ_HEAD] + self._records(body[READ_HEAD:])
+                return self._translate_page(body)
+            return body[:READ_HEADER_BYTES] + self._translate_records(
+                body[READ_HEADER_BYTES:]
+            )
         except (ValueError, KeyError, TypeError, struct.error, binascii.Error):
             return body
 
-    def _page(self, body: bytes) -> bytes:
+    def _translate_page(self, body: bytes) -> bytes:
         page = json.loads(body)
         for item in page.get("items", ()):
-            value = _value(base64.b64decode(item["value"]), self._translate)
+            value = _translate_value(base64.b64decode(item["value"]), self._translate)
             item["value"] = base64.b64encode(value).decode()
         return json.dumps(page).encode()
 
-    def _records(self, data: bytes) -> bytes:
+    def _translate_records(self, data: bytes) -> bytes:
         out = b""
         position = 0
         while position < len(data):
@@ -147,7 +149,7 @@
             start = position + 5
             position += 4 + length
             key = data[start : start + key_size]
-            value = _value(data[start + key_size : position], self._translate)
+            value = _translate_value(data[start + key_size : position], self._translate)
             size = 1 + len(key) + len(value)
             out += struct.pack(">IB", size, key_size) + key + value
         return out
@@ -160,7 +162,7 @@
     return None
 
 
-def _with_length(head: bytes, length: int) -> bytes:
+def _set_content_length(head: bytes, length: int) -> bytes:
     lines = [
         b"content-length: %d" % length
         if line.lower().startswith(b"content-length:")
@@ -170,31 +172,31 @@
     return b"\r\n".join(lines)
 
 
-def _value(value: bytes, translate: Translate) -> bytes:
+def _translate_value(value: bytes, translate: Translate) -> bytes:
     """Translate a record's value: JSON of the platform, or packed by the program."""
     if ADDRESS_PREFIX not in value:
         return value
     if value[:1] != b"{":
-        return _packed(value, translate)
+        return _translate_msgpack(value, translate)
     raw = json.loads(value)
-    translated = _replaced(raw, translate)
+    translated = _translate_strings(raw, translate)
     return value if translated == raw else json.dumps(translated).encode()
 
 
-def _packed(data: bytes, translate: Translate) -> bytes:
+def _translate_msgpack(data: bytes, translate: Translate) -> bytes:
     try:
         raw = msgspec.msgpack.decode(data)
     except msgspec.DecodeError:
         return data
-    translated = _replaced(raw, translate)
+    translated = _translate_strings(raw, translate)
     return data if translated == raw else msgspec.msgpack.encode(translated)
 
 
-def _replaced(value: t.Any, translate: Translate) -> t.Any:
+def _translate_strings(value: t.Any, translate: Translate) -> t.Any:
     if isinstance(value, str):
         return translate(value)
     if isinstance(value, list):
-        return [_replaced(part, translate) for part in value]
+        return [_translate_strings(part, translate) for part in value]
     if isinstance(value, dict):
-        return {key: _replaced(part, translate) for key, part in value.items()}
+        return {key: _translate_strings(part, translate) for key, part in value.items()}
     return value
--- a/src/granitetrestle_standins/nativecluster.py
+++ b/src/granitetrestle_standins/nativecluster.py
@@ -96,7 +96,7 @@
         topology = self._topology()
         try:
             for fault in links or ():
-                topology.ways(fault)
+                topology.directions(fault)
             self._start_platform()
             if links is not None:
                 self._start_links(topology, links)
@@ -175,7 +175,7 @@
         control = (self._net.links, FIRST_PORT)
         self._links = Links(topology, self.processes["links"], control)
         for fault in faults:
-            self._links.set(fault)
+            self._links.set_fault(fault)
 
     def _spawn(self, name: str, arguments: list[str], env: t.Mapping[str, str]) -> None:
         out = (self.folder / f"{name}.log").open("ab")
--- a/src/granitetrestle_standins/soaklinks.py
+++ b/src/granitetrestle_standins/soaklinks.py
@@ -5,7 +5,7 @@
 import time
 import typing as t
 
-from .linkfaults import EVERYBODY
+from .linkfaults import ALL_OTHERS
 from .linkfaults import Fault
 from .linkfaults import FaultKind
 from .links import CLIENT
@@ -71,7 +71,7 @@
         until = time.monotonic() + self._random.choice(FAULT_DURATIONS_S)
         for source, target in self._draw_links(leader):
             fault = Fault(kind, source, target, both_ways, amount)
-            self._links.set(fault)
+            self._links.set_fault(fault)
             if kind is not FaultKind.LATE:
                 # What is held back arrives by itself.
                 self._active.append(_ActiveFault(until, fault))
@@ -91,7 +91,7 @@
             self._links.heal(active.fault.source, active.fault.target)
         # Others on the same links go on.
         for active in self._active:
-            self._links.set(active.fault)
+            self._links.set_fault(active.fault)
 
     def _draw_amount(self, kind: FaultKind) -> float:
         if kind is FaultKind.LATE:
@@ -124,7 +124,7 @@
         )
         hall = self._random.choice(self._halls)
         if not chosen or self._random.random() < 0.2:
-            pair = (hall, EVERYBODY)
+            pair = (hall, ALL_OTHERS)
             return [pair if self._random.random() < 0.5 else (pair[1], pair[0])]
         outbound = self._random.random() < 0.5
         return [(node, one) if outbound else (one, node) for one in chosen]
