--- a/src/granitetrestle_standins/linkfaults.py
+++ b/src/granitetrestle_standins/linkfaults.py
@@ -1,5 +1,6 @@
-"""What can be done to a link: kinds of faults, the places that links join, and the check
-that a fault names links that exist, made before anything starts."""
+"""Network faults that can be injected into links, and the topology of the links. A fault
+is checked against the topology before anything starts, so that one that names no link is
+refused and not silently without effect."""
 
 import enum
 import math
@@ -21,47 +22,47 @@
     "decode_fault",
 ]
 
-# In place of a name: all who are not on the other side.
+# Stands for every place that isn't on the other side of the fault.
 ALL_OTHERS: t.Final = "*"
 
 
 class LinkFaultError(ValueError):
-    """A fault that can't be brought about as it was asked for."""
+    """A fault is invalid and can't be injected."""
 
 
 class UnknownLink(LinkFaultError):
-    """No link joins the two that were named."""
+    """No link joins the source and the target of a fault."""
 
 
 class UnknownHall(LinkFaultError):
-    """No data hall has the name."""
+    """No data hall has the given name."""
 
 
 class UnknownFaultKind(LinkFaultError):
-    """There is no such kind of fault."""
+    """The kind of a fault doesn't exist."""
 
 
 class UnusableAmount(LinkFaultError):
-    """The amount is missing, or not of the kind of fault."""
+    """The amount of a fault is missing or invalid, or its kind takes none."""
 
 
 class FaultKind(enum.StrEnum):
     """What happens to the bytes from a source to a target."""
 
-    # Nothing is read or delivered; whoever connects gets no answer. What was sent
-    # meanwhile arrives afterwards, as with packets that are sent again.
+    # Nothing is delivered, and attempts to connect get no answer. Bytes sent during the
+    # cut arrive after it, as with packets that are retransmitted.
     CUT = "cut"
-    # Everything arrives ``amount`` seconds later.
+    # All bytes arrive ``amount`` seconds later.
     DELAY = "delay"
     # At most ``amount`` bytes a second arrive.
     SLOW = "slow"
-    # Open connections are reset, new ones as soon as they are open.
+    # Open connections are reset, and new ones as soon as they are open.
     RESET = "reset"
-    # What the source asks over connections that it opened arrives; no answer does, and
-    # a connection on which one was lost stays silent for good.
+    # On connections that the source opened its requests arrive, but no answers. A
+    # connection that lost an answer delivers none later either, also after healing.
     LOST_ANSWER = "lost_answer"
-    # Connections that are open now deliver after ``amount`` seconds; what goes over
-    # newer ones overtakes it.
+    # Connections that are open now deliver nothing for ``amount`` seconds; bytes on
+    # newer connections overtake theirs.
     LATE = "late"
 
 
@@ -71,11 +72,12 @@
 
 
 class Fault(t.NamedTuple):
-    """One fault.
+    """A fault of the links between a source and a target.
 
-    :param source: a place, a data hall, or :data:`ALL_OTHERS`; ``target`` as well.
-    :param both: whether the way back is faulty too.
-    :param amount: seconds or bytes a second, see :class:`FaultKind`.
+    :param source: name of a place or a data hall, or :data:`ALL_OTHERS`.
+    :param target: as ``source``.
+    :param both: whether the direction from target to source is faulty too.
+    :param amount: in seconds or bytes per second, see :class:`FaultKind`.
     """
 
     kind: FaultKind
@@ -86,14 +88,14 @@
 
 
 class Direction(t.NamedTuple):
-    """One direction between two places."""
+    """One direction of the link between two places."""
 
     source: str
     target: str
 
 
 class PlaceKind(enum.StrEnum):
-    """What stands at a place."""
+    """The type of a place."""
 
     NODE = "node"
     BOX = "box"
@@ -112,10 +114,11 @@
 
 
 class Place(t.NamedTuple):
-    """One end of links.
+    """An endpoint of links.
 
     :param hall: its data hall; empty for the store and for clients.
-    :param addresses: where it listens, IP:PORT; for a node the first is its peers'.
+    :param addresses: the addresses that it listens on, IP:PORT; the first one of a node
+        is for its peers.
     """
 
     kind: PlaceKind
@@ -124,9 +127,9 @@
 
 
 class Topology:
-    """All places of a cluster.
+    """The places of a cluster and the links between them.
 
-    :param places: by name.
+    :param places: places by name.
     """
 
     def __init__(self, places: t.Mapping[str, Place]) -> None:
@@ -137,24 +140,24 @@
                 self._halls.setdefault(place.hall, []).append(name)
 
     def hall(self, hall: str) -> tuple[str, ...]:
-        """Return the places of a data hall.
+        """Return the names of the places in a data hall.
 
-        :raises UnknownHall: naming it.
+        :raises UnknownHall: if there is no such hall.
         """
         if hall not in self._halls:
             raise UnknownHall(f"no data hall {hall!r}; there are {sorted(self._halls)}")
         return tuple(self._halls[hall])
 
     def are_linked(self, one: str, other: str) -> bool:
-        """Say whether a link joins two places."""
+        """Return whether a link joins two places."""
         kinds = frozenset({self.places[one].kind, self.places[other].kind})
         return one != other and kinds in _LINKED_KINDS
 
     def directions(self, fault: Fault) -> tuple[Direction, ...]:
-        """Return the directions that a fault is about.
+        """Return the directions that a fault affects.
 
-        :raises UnknownLink: naming what joins no link.
-        :raises UnusableAmount: naming the amount.
+        :raises UnknownLink: if a name is unknown or no link joins the two sides.
+        :raises UnusableAmount: if the amount doesn't fit the kind of fault.
         """
         _check_amount(fault)
         sources, targets = self._resolve(fault.source), self._resolve(fault.target)
@@ -187,20 +190,24 @@
 def _check_amount(fault: Fault) -> None:
     if fault.kind not in _KINDS_WITH_AMOUNT:
         if fault.amount:
-            raise UnusableAmount(f"{fault.kind} takes no amount: {fault.amount!r}")
+            raise UnusableAmount(f"{fault.kind} takes no amount, got {fault.amount!r}")
         return
     if not math.isfinite(fault.amount) or fault.amount <= 0:
-        raise UnusableAmount(f"{fault.kind} needs an amount: {fault.amount!r}")
+        raise UnusableAmount(
+            f"{fault.kind} needs a finite amount above 0, got {fault.amount!r}"
+        )
 
 
 def decode_fault(raw: t.Mapping[str, t.Any]) -> Fault:
-    """Return a fault from its JSON form.
+    """Decode a fault from its JSON form.
 
-    :raises LinkFaultError: naming what is wrong with it.
+    :raises LinkFaultError: if a field is missing or invalid.
     """
     kinds = {kind.value: kind for kind in FaultKind}
     if raw.get("kind") not in kinds:
-        raise UnknownFaultKind(f"no kind of fault {raw.get('kind')!r}")
+        raise UnknownFaultKind(
+            f"no kind of fault {raw.get('kind')!r}; there are {sorted(kinds)}"
+        )
     try:
         return Fault(
             kinds[raw["kind"]],
@@ -210,6 +217,6 @@
             float(raw.get("amount", 0.0)),
         )
     except KeyError as error:
-        raise UnknownLink(f"a fault without {error}: {dict(raw)!r}") from error
+        raise UnknownLink(f"fault lacks the field {error}: {dict(raw)!r}") from error
     except (TypeError, ValueError) as error:
-        raise UnusableAmount(f"{raw.get('amount')!r} is no number") from error
+        raise UnusableAmount(f"amount {raw.get('amount')!r} is not a number") from error
--- a/src/granitetrestle_standins/linkpipes.py
+++ b/src/granitetrestle_standins/linkpipes.py
@@ -1,7 +1,7 @@
-"""One connection through the proxy: bytes are taken from one side and delivered to the
-other as the condition of the way allows at that moment. Ends of connections are delivered
-like bytes: a side that closes or resets while the way is cut is missed by the other only
-afterwards, and what it sent before comes first."""
+"""Forwarding of a single connection through the proxy. Bytes read from one side are
+delivered to the other as the current condition of that direction allows. The end of a
+connection is delivered in order like bytes: if a side closes or resets while the direction
+is cut, the other side sees it only after the cut, and after all bytes sent before it."""
 
 import asyncio
 import contextlib
@@ -13,24 +13,25 @@
 
 __all__ = ["Condition", "Pipe", "reset_socket"]
 
-# Bytes taken at a time.
+# Most bytes read at a time.
 CHUNK_BYTES: t.Final = 65536
-# Chunks on their way in one direction of a connection; then nothing more is read.
+# Chunks queued in one direction of a connection; reading pauses while it is full.
 MAX_IN_FLIGHT_CHUNKS: t.Final = 64
-# How often something that waits looks whether the fault is over.
+# How often a delayed delivery checks whether the fault was healed.
 RECHECK_INTERVAL_S: t.Final = 0.02
-# A slow way delivers what it may in so long at a time.
+# A slow direction delivers the bytes of one such interval at a time.
 SLOW_INTERVAL_S: t.Final = 0.05
+# With a linger time of 0 the kernel sends a reset when the socket closes.
 NO_LINGER: t.Final = struct.pack("ii", 1, 0)
 
 
 class Condition:
-    """How one direction between two places is.
+    """The faults in force in one direction between two places.
 
-    :ivar delay_s: how much later everything arrives.
-    :ivar bytes_per_s: how much arrives at most; 0 for any amount.
+    :ivar delay_s: delay of every delivery.
+    :ivar bytes_per_s: limit of the bandwidth; 0 for no limit.
     :ivar reset: whether connections are reset.
-    :ivar loses_answers: whether answers to what the source asks are lost.
+    :ivar loses_answers: whether answers to requests of the source are lost.
     """
 
     def __init__(self) -> None:
@@ -44,7 +45,7 @@
         return not self._passable.is_set()
 
     def heal(self) -> None:
-        """Go back to good."""
+        """Remove all faults."""
         self._passable.set()
         self.delay_s = 0.0
         self.bytes_per_s = 0.0
@@ -52,25 +53,29 @@
         self.loses_answers = False
 
     def cut_off(self) -> None:
-        """Let nothing pass."""
+        """Stop all deliveries."""
         self._passable.clear()
 
     async def wait_passable(self) -> None:
-        """Return once something may pass."""
+        """Wait until the direction isn't cut."""
         await self._passable.wait()
 
     def reserve(self, size: int, now: float) -> float:
-        """Return when ``size`` bytes have passed, one after the other for all."""
+        """Reserve bandwidth that all connections share, in order of their calls.
+
+        :param now: seconds on the loop's clock.
+        :returns: when ``size`` bytes will have been sent, on the same clock.
+        """
         self._next_free_at = max(self._next_free_at, now) + size / self.bytes_per_s
         return self._next_free_at
 
 
 class _Chunk(t.NamedTuple):
-    """Bytes at the proxy, or the end of them.
+    """Bytes that the proxy received, or the end of the stream.
 
-    :param at: seconds on the loop's clock.
-    :param data: empty at the end.
-    :param was_reset: whether the end was a reset.
+    :param at: time of receipt in seconds on the loop's clock.
+    :param data: empty for the end of the stream.
+    :param was_reset: whether the stream ended by a reset.
     """
 
     at: float
@@ -81,8 +86,9 @@
 class _Flow:
     """One direction of a connection.
 
-    :param condition: of the way that the bytes take.
-    :param asked: condition of the way of the requests, if these are answers to them.
+    :param condition: condition of this direction.
+    :param request_condition: for a flow of answers, the condition of the direction of
+        the requests.
     """
 
     def __init__(
@@ -103,7 +109,7 @@
         self.held_until = 0.0
 
     async def run(self) -> None:
-        """Carry bytes until their end was delivered."""
+        """Forward bytes until the end of the stream is delivered."""
         async with asyncio.TaskGroup() as tasks:
             receiving = tasks.create_task(self._receive())
             await self._deliver()
@@ -144,7 +150,7 @@
                     return
                 await self._write(arrived.data)
             except (OSError, RuntimeError):
-                # The far side is gone; the other direction tells of that.
+                # The receiver is gone; the flow of the other direction reports that.
                 return
 
     async def _wait(self, arrived_at: float) -> None:
@@ -171,9 +177,12 @@
 
 
 class Pipe:
-    """A connection that was accepted, and the one to where it leads.
+    """An accepted connection and the connection to its target.
 
-    :param there: condition of the way from who connected; ``backward`` of the way back.
+    :param forward: condition of the direction from the client to the server.
+    :param backward: condition of the direction from the server to the client.
+    :param request_rewriter: rewrites the bytes that the client sends.
+    :param answer_rewriter: rewrites the bytes that the server sends.
     """
 
     def __init__(
@@ -190,7 +199,7 @@
         self._writers: tuple[asyncio.StreamWriter, ...] = ()
 
     async def run(self, accepted: socket.socket, target: tuple[str, int]) -> None:
-        """Carry bytes until both sides have ended."""
+        """Forward bytes until both directions have ended."""
         if self._forward.reset or self._backward.reset:
             reset_socket(accepted)
             return
@@ -199,13 +208,13 @@
         try:
             server_reader, server = await asyncio.open_connection(*target)
         except OSError:
-            # Nobody listens there. A connection that is open can't be refused any more.
+            # Nothing listens there. An accepted connection can't be refused, only reset.
             self.reset()
             return
         self._writers = (client, server)
         for writer in self._writers:
             channel = writer.get_extra_info("socket")
-            # One side may have been reset while the other was opened.
+            # One side may have been reset while the other was being opened.
             with contextlib.suppress(OSError):
                 channel.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         request_rewriter, answer_rewriter = self._rewriters
@@ -224,7 +233,7 @@
                 writer.close()
 
     def hold(self, condition: Condition, until: float) -> None:
-        """Deliver nothing before ``until`` (s, loop's clock) in one direction."""
+        """Deliver nothing in one direction before ``until`` (s, loop's clock)."""
         for flow, flow_condition in zip(
             self._flows, (self._forward, self._backward), strict=False
         ):
@@ -232,13 +241,13 @@
                 flow.held_until = until
 
     def reset(self) -> None:
-        """Reset both sides."""
+        """Reset the connections of both sides."""
         for writer in self._writers:
             reset_writer(writer)
 
 
 def reset_writer(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset."""
+    """Close a connection by a reset."""
     channel = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
         channel.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
@@ -246,7 +255,7 @@
 
 
 def reset_socket(accepted: socket.socket) -> None:
-    """End a connection that was just accepted by a reset."""
+    """Close an accepted socket by a reset."""
     with contextlib.suppress(OSError):
         accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
     accepted.close()
--- a/src/granitetrestle_standins/linkproxy.py
+++ b/src/granitetrestle_standins/linkproxy.py
@@ -1,13 +1,13 @@
-"""Carries every link of a cluster in one process on the loopback: process to process,
-to boxes and to the store, and client to process. Each place reaches each other one
-through a port that is its own, so that the links can be told apart; :mod:`.linkviews`
-says how it learns of that port. Faults are set from outside, as JSON lines on a port of
-the loopback; :class:`.links.Links` is the other side.
+"""TCP proxy for all links of a cluster, in one process on the loopback: links between
+processes, from processes to boxes and to the store, and from clients to processes. Each
+pair of source and target address has a port of its own, so that the proxy knows which
+link a connection belongs to; :mod:`.linkviews` describes how a place learns of that port.
+Faults are set by JSON lines on a control port; :class:`.links.Links` is the client.
 
-A link that is cut in either direction lets no new connection come about: the queue of its
-port is kept full, so that the kernel answers no further SYN. Two things differ from a cable:
-whoever connects to a place where nobody listens is reset rather than refused, and what a
-sender has sent counts as acknowledged once it is at the proxy."""
+While a link is cut in either direction, no new connection can be established: the accept
+queue of its port is kept full, so that the kernel answers no further SYN. The proxy differs
+from a real network in two ways: a connection to an address where nothing listens is reset
+rather than refused, and bytes are acknowledged to the sender once the proxy has them."""
 
 import argparse
 import asyncio
@@ -39,18 +39,19 @@
 __all__ = ["LinkPort", "LinkProxy", "main"]
 
 BACKLOG: t.Final = 512
-# How often the proxy looks how late its own loop is.
+# How often the proxy measures the lag of its own event loop.
 LAG_CHECK_INTERVAL_S: t.Final = 0.1
-# A decider's silence counts from 0.8 s on; what the proxy adds must stay far below.
+# A leader is suspected after 0.8 s of silence; the lag must stay far below that.
 LAG_LOG_THRESHOLD_S: t.Final = 0.1
 
 AcceptCallback: t.TypeAlias = t.Callable[[socket.socket], None]
 
 
 class LinkPort:
-    """A port that one place reaches another one at. It is bound once and kept.
+    """A listening port through which one place reaches an address of another. It stays
+    bound until :meth:`close`, so that its address never changes.
 
-    :param accepted: told of each new connection.
+    :param accepted: called with the socket of each new connection.
     """
 
     def __init__(self, ip: str, accepted: AcceptCallback) -> None:
@@ -60,32 +61,32 @@
         self._socket.bind((ip, 0))
         self._socket.listen(BACKLOG)
         self.address: tuple[str, int] = self._socket.getsockname()
-        # Connections of the proxy itself that fill the queue while the door is shut.
+        # The proxy's own connections that fill the accept queue while it is blocked.
         self._blocker: socket.socket | None = None
         self._blocker_addresses: set[tuple[str, int]] = set()
         self._loop = asyncio.get_running_loop()
         self._loop.add_reader(self._socket, self._accept)
 
     def block(self) -> None:
-        """Let no connection come about: who tries is not answered."""
+        """Leave all attempts to connect unanswered."""
         if self._blocker is not None:
             return
         self._loop.remove_reader(self._socket)
-        # A queue without room still takes one connection.
+        # A queue of length 0 still takes one connection.
         self._socket.listen(0)
         self._blocker = socket.socket()
         self._blocker.setblocking(False)
         self._blocker.connect_ex(self.address)
 
     def unblock(self) -> None:
-        """Let connections come about again."""
+        """Accept connections again."""
         if self._blocker is None:
             return
         try:
             self._blocker.getpeername()
             self._blocker_addresses.add(self._blocker.getsockname())
         except OSError:
-            # The queue was full without it.
+            # It never connected: the queue was already full.
             pass
         self._blocker.close()
         self._blocker = None
@@ -101,7 +102,7 @@
         try:
             accepted, peer = self._socket.accept()
         except OSError:
-            # Who connected has given up meanwhile.
+            # The client has closed the connection in the meantime.
             return
         if peer in self._blocker_addresses:
             self._blocker_addresses.discard(peer)
@@ -112,9 +113,9 @@
 
 
 class LinkProxy:
-    """All links of a cluster, and what is wrong with them.
+    """Forwards the connections of all links of a cluster and injects their faults.
 
-    :param ip: where the ports for all links are.
+    :param ip: the address that all ports of links are bound to.
     """
 
     def __init__(self, topology: Topology, ip: str) -> None:
@@ -123,26 +124,26 @@
         self._conditions: dict[Direction, Condition] = collections.defaultdict(
             Condition
         )
-        # By who connects and the address that the door leads to.
+        # By the name of the source and the real address of the target.
         self._ports: dict[tuple[str, str], LinkPort] = {}
         self._pipes: dict[Direction, set[Pipe]] = collections.defaultdict(set)
         self._tasks: set[asyncio.Task[None]] = set()
         self._place_names: dict[str, str] = {}
-        # Every address that a place may have been told -> the real one.
+        # Real or proxied address -> real address.
         self._real_addresses: dict[str, str] = {}
         for name, place in topology.places.items():
             for address in place.addresses:
                 self._place_names[address] = name
                 self._real_addresses[address] = address
         self.lag_s = 0.0
-        # A connection that can't be carried for a reason of the proxy's own ends it:
-        # what comes of that must not be taken for the program's doing.
+        # An error of the proxy itself ends it, since its effects would otherwise be taken
+        # for faults of the program under test.
         self._failed: asyncio.Future[t.Never] = asyncio.Future()
 
     def view(self, source: str, address: str) -> str:
-        """Return where ``source`` reaches name listens at ``address``.
+        """Return the address through which ``source`` reaches ``address``.
 
-        :raises LinkFaultError: if no link leads there.
+        :raises LinkFaultError: if ``source`` or ``address`` is unknown.
         """
         target = self._place_names.get(address)
         if target is None or source not in self._topology.places:
@@ -161,7 +162,10 @@
         return _format_address(self._ports[key].address)
 
     def translate(self, reader: str, text: str) -> str:
-        """Turn an address that somebody was told into the reader's own."""
+        """Translate a real or proxied address into the one that ``reader`` must use.
+
+        Any other text is returned unchanged.
+        """
         real = self._real_addresses.get(text)
         if real is None:
             return text
@@ -170,9 +174,9 @@
         return self.view(reader, real)
 
     def set_fault(self, fault: Fault) -> None:
-        """Bring a fault about.
+        """Inject a fault.
 
-        :raises LinkFaultError: naming what is wrong with it.
+        :raises LinkFaultError: if the fault is invalid.
         """
         for direction in self._topology.directions(fault):
             condition = self._conditions[direction]
@@ -193,15 +197,15 @@
         self._update_ports()
 
     def heal(self, directions: t.Iterable[Direction] | None = None) -> None:
-        """Let some ways be good again, or all."""
+        """Remove all faults from some directions, or from all."""
         for direction in list(self._conditions) if directions is None else directions:
             self._conditions[direction].heal()
             self._hold(direction, 0.0)
         self._update_ports()
 
     def read_metrics(self) -> dict[str, float]:
-        """Return how many ports and open connections there are, and how many seconds
-        the proxy was late at worst since it was asked last."""
+        """Return the numbers of ports and open connections, and the highest lag of the
+        event loop (s) since the last call."""
         pipes = sum(map(len, self._pipes.values()))
         lag_s, self.lag_s = self.lag_s, 0.0
         return {"doors": len(self._ports), "connections": pipes, "lag_s": lag_s}
@@ -250,9 +254,9 @@
             self._failed.set_exception(error)
 
     async def wait_for_failure(self) -> t.Never:
-        """Wait for a fault of the proxy itself.
+        """Wait for an error of the proxy itself.
 
-        :raises Exception: what went wrong.
+        :raises Exception: that error.
         """
         await self._failed
         raise AssertionError
@@ -285,7 +289,7 @@
         return Passthrough(translate)
 
     async def watch_lag(self, log: NodeLog) -> None:
-        """Measure how late the proxy itself is, for ever."""
+        """Measure the lag of the event loop until cancelled."""
         while True:
             started = time.monotonic()
             await asyncio.sleep(LAG_CHECK_INTERVAL_S)
@@ -296,11 +300,12 @@
 
 
 class ControlServer:
-    """Takes commands, a JSON object a line, and answers each by one.
+    """Serves the control port. Commands and answers are JSON objects, one per line:
 
-    ``{"do": "view", "source": NAME, "address": ADDRESS}``, ``{"do": "set", ...}`` with
-    what :func:`.linkfaults.decode_fault` reads, ``{"do": "heal"}`` for all links or with a
-    ``source`` and a ``target`` for theirs, and ``{"do": "figures"}``.
+    - ``{"do": "view", "source": NAME, "address": ADDRESS}``
+    - ``{"do": "set", ...}`` with the fields of :func:`.linkfaults.decode_fault`
+    - ``{"do": "heal"}`` for all links, or with a ``source`` and a ``target``
+    - ``{"do": "figures"}``
     """
 
     def __init__(self, topology: Topology, proxy: LinkProxy, log: NodeLog) -> None:
@@ -311,7 +316,7 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve one connection."""
+        """Answer the commands of one connection."""
         while line := await reader.readline():
             try:
                 answer = self._execute(json.loads(line))
@@ -336,7 +341,9 @@
         elif name == "figures":
             return self._proxy.read_metrics()
         else:
-            raise LinkFaultError(f"no command {name!r}")
+            raise LinkFaultError(
+                f"no command {name!r}; there are view, set, heal and figures"
+            )
         return {}
 
     def _directions_to_heal(
@@ -353,7 +360,7 @@
 
 
 def load_topology(path: pathlib.Path) -> Topology:
-    """Read all places from a JSON file, name -> kind, hall, addresses."""
+    """Read a topology from a JSON file: name -> [kind, hall, addresses]."""
     raw = json.loads(path.read_text())
     return Topology(
         {
@@ -365,7 +372,7 @@
 
 async def _run(topology: Topology, ip: str, port: int) -> None:
     proxy = LinkProxy(topology, ip)
-    # In the form of the processes' own logs, so that one timeline can hold both.
+    # In the format of the processes' logs, so that one timeline can hold both.
     log = NodeLog(node="links")
     control = ControlServer(topology, proxy, log)
     server = await asyncio.start_server(control.serve, ip, port)
@@ -376,7 +383,7 @@
 
 
 def main() -> None:
-    """Carry links until the process is ended."""
+    """Proxy the links of a cluster until the process is ended."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--topology", type=pathlib.Path, required=True)
     parser.add_argument("--ip", required=True)
--- a/src/granitetrestle_standins/links.py
+++ b/src/granitetrestle_standins/links.py
@@ -1,5 +1,6 @@
-"""The links of a cluster, for whoever disturbs them: names them, asks for faults, and
-tells faults of the proxy itself from what the program did."""
+"""Client of the link proxy: injects faults into the links of a cluster and heals them.
+A failure of the proxy raises :class:`RigFault`, so that it isn't taken for a fault of the
+program under test."""
 
 import json
 import pathlib
@@ -17,24 +18,26 @@
 
 __all__ = ["CLIENT", "STORE", "Links", "RigFault"]
 
-# Names of the places that are no process and no box.
+# Names of the places that are neither a process nor a box.
 CLIENT: t.Final = "client"
 STORE: t.Final = "store"
-# The proxy answers a command within some ms; started beside many others, later.
+# The proxy answers within milliseconds, but later when many processes start at once.
 ANSWER_TIMEOUT_S: t.Final = 10.0
 START_TIMEOUT_S: t.Final = 20.0
 CONNECT_RETRY_INTERVAL_S: t.Final = 0.05
 
 
 class RigFault(RuntimeError):
-    """What carries or plays the faults has failed itself: the run shows nothing."""
+    """The test rig itself, such as the proxy, has failed: the run proves nothing."""
 
 
 class Links:
-    """Commands to a proxy.
+    """Sends commands to a proxy.
 
-    :param process: the proxy.
-    :param control: where it takes commands.
+    :param topology: the places and links that faults are checked against.
+    :param process: the proxy's process.
+    :param control: host and port of the proxy's control server.
+    :raises RigFault: if the proxy doesn't start.
     """
 
     def __init__(
@@ -60,33 +63,36 @@
             time.sleep(CONNECT_RETRY_INTERVAL_S)
 
     def view(self, source: str, address: str) -> str:
-        """Return where ``source`` reaches command listens at ``address``."""
+        """Return the address through which ``source`` reaches ``address``."""
         return str(self._send_command("view", source=source, address=address)["view"])
 
     def set_fault(self, fault: Fault) -> None:
-        """Bring a fault about.
+        """Inject a fault.
 
-        :raises LinkFaultError: naming what is wrong with it, before anything happens.
-        :raises RigFault: if the proxy does not do it.
+        :raises LinkFaultError: if the fault is invalid; nothing was changed.
+        :raises RigFault: if the proxy can't be reached.
         """
         self._topology.directions(fault)
         self._send_command("set", **fault._asdict())
 
     def cut(self, source: str, target: str, one_way: bool = False) -> None:
-        """Let nothing pass from a place or hall to another one, nor back."""
+        """Cut the links from a place or hall to another, by default both directions."""
         self.set_fault(Fault(FaultKind.CUT, source, target, not one_way))
 
     def cut_hall(self, hall: str, one_way: bool = False) -> None:
-        """Let nothing pass between a data hall and everything outside it.
+        """Cut the links between a data hall and everything outside it.
 
-        :param one_way: let only nothing out.
-        :raises UnknownHall: naming the hall.
+        :param one_way: cut only the direction out of the hall.
+        :raises UnknownHall: if there is no such hall.
         """
         self._topology.hall(hall)
         self.cut(hall, ALL_OTHERS, one_way)
 
     def isolate(self, node: str, with_clients: bool = False) -> None:
-        """Cut a process off from the store, all boxes and all other processes."""
+        """Cut a process off from the store, all boxes and all other processes.
+
+        :param with_clients: cut it off from the clients too.
+        """
         for name, place in self._topology.places.items():
             if place.kind is PlaceKind.CLIENT and not with_clients:
                 continue
@@ -94,7 +100,7 @@
                 self.cut(node, name)
 
     def heal(self, source: str | None = None, target: str | None = None) -> None:
-        """Let the links between two be good again, or all."""
+        """Remove all faults between two places or halls, or from all links."""
         if source is None or target is None:
             self._send_command("heal")
             return
@@ -102,17 +108,17 @@
         self._send_command("heal", source=source, target=target)
 
     def read_metrics(self) -> dict[str, float]:
-        """Return the ports, the open connections, and how late the proxy was (s)."""
+        """Return the numbers of ports and connections, and the proxy's lag (s)."""
         return dict(self._send_command("figures"))
 
     def check(self) -> None:
-        """Return if the proxy is at work.
+        """Check that the proxy runs.
 
         :raises RigFault: if it has ended.
         """
         code = self._process.poll()
         if code is not None:
-            raise RigFault(f"the proxy of the links ended by itself with {code}")
+            raise RigFault(f"the link proxy ended unexpectedly with exit code {code}")
 
     def close(self) -> None:
         """Close the connection to the proxy."""
@@ -127,9 +133,11 @@
             )
             line = self._lines.readline()
         except OSError as error:
-            raise RigFault(f"the proxy of the links is gone: {error!r}") from error
+            raise RigFault(
+                f"lost the connection to the link proxy: {error!r}"
+            ) from error
         if not line:
-            raise RigFault("the proxy of the links has ended")
+            raise RigFault("the link proxy closed its control connection")
         answer: dict[str, t.Any] = json.loads(line)
         if "error" in answer:
             raise LinkFaultError(answer["error"])
@@ -137,6 +145,6 @@
 
 
 def write_topology(path: pathlib.Path, topology: Topology) -> None:
-    """Write all places to the file that the proxy reads."""
+    """Write a topology to the file that the proxy reads."""
     rows = {name: list(place) for name, place in topology.places.items()}
     path.write_text(json.dumps(rows))
--- a/src/granitetrestle_standins/linkviews.py
+++ b/src/granitetrestle_standins/linkviews.py
@@ -1,14 +1,13 @@
-"""Which address each place has for another one, and how it learns of it. A place must
-reach each other one through a port of its own, so that its links can be told apart; the
-program takes addresses from the store and from messages of its peers, so both are
-translated on their way, each into what its reader is to use.
-
-Translated are the answers of the store (a process's entry, a box's entry) and whatever
-the processes send each other: ``NodeStatus`` (``address``, ``leader_address``, the
-addresses of ``members``) and ``CallForwarded`` (``reply_to``). No link passes the proxy by:
-an address that a process has not been told it can't connect to. The exceptions are made
-by the tests, not by the program: test hooks and the ports that show readiness and figures
-are called directly."""
+"""Translation of addresses in the traffic that the proxy forwards. A place must reach
+each other place through a port of its own, so that the proxy can tell links apart. The
+program takes addresses from the store and from messages of its peers, so the proxy
+replaces each address there by the one that the receiver must use.
+
+Translated are the answers of the store (entries of processes and boxes) and the messages
+between processes: ``NodeStatus`` (``address``, ``leader_address``, the addresses of
+``members``) and ``CallForwarded`` (``reply_to``). No link of the program bypasses the proxy,
+since a process only learns of translated addresses. Only the tests connect directly, to
+test hooks and to the ports for readiness and metrics."""
 
 import abc
 import base64
@@ -23,21 +22,21 @@
 
 Translate: t.TypeAlias = t.Callable[[str], str]
 
-# All addresses begin so; what holds none of them is passed on without decoding it.
+# Prefix of all addresses; data without it is forwarded without decoding it.
 ADDRESS_PREFIX: t.Final = b"127."
-# ZMTP 3: bytes of the greeting, and the flags of a frame.
+# ZMTP 3: size of the greeting, flags of a frame, largest body of a short frame.
 GREETING_BYTES: t.Final = 64
 FLAG_LONG: t.Final = 2
 FLAG_COMMAND: t.Final = 4
 MAX_SHORT_FRAME_BYTES: t.Final = 255
-# Bytes before the records in the answer to a read of the store.
+# Size of the header before the records in the answer to a read of the store.
 READ_HEADER_BYTES: t.Final = 16
 
 
 class Rewriter(abc.ABC):
-    """Translates a stream of bytes, message by message.
+    """Translates the addresses in a stream of bytes, message by message.
 
-    :param translate: turns an address into the reader's; leaves other text alone.
+    :param translate: returns the receiver's form of an address, and other text unchanged.
     """
 
     def __init__(self, translate: Translate) -> None:
@@ -45,7 +44,7 @@
         self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes; return those that are complete, translated."""
+        """Add bytes to the buffer and return the complete messages, translated."""
         self._buffer += data
         complete = b""
         while (message := self._next_message()) is not None:
@@ -53,25 +52,28 @@
         return complete
 
     def flush(self) -> bytes:
-        """Return what is left when the stream ends."""
+        """Return and clear the buffer, for the end of the stream."""
         remaining, self._buffer = self._buffer, b""
         return remaining
 
     @abc.abstractmethod
     def _next_message(self) -> bytes | None:
-        """Take the first whole message from what is held, if there is one."""
+        """Remove and translate the first message in the buffer.
+
+        :returns: ``None`` if it isn't complete.
+        """
 
 
 class Passthrough(Rewriter):
-    """Translates nothing."""
+    """Forwards all bytes unchanged."""
 
     def _next_message(self) -> bytes | None:
         return self.flush() or None
 
 
 class PeerFrames(Rewriter):
-    """Translates what a process sends to another: frames of ZMTP, of which the second
-    of each message holds an envelope."""
+    """Translates the messages between processes: ZMTP frames, of which the second one of
+    each message holds an envelope."""
 
     def __init__(self, translate: Translate) -> None:
         super().__init__(translate)
@@ -79,7 +81,8 @@
 
     def _next_message(self) -> bytes | None:
         if self._greeting_left and self._buffer:
-            # Either side sends the rest of its greeting once it has seen the other's start.
+            # Forwarded in parts: a side may wait for the start of the other's greeting
+            # before it sends the rest of its own.
             start = self._consume(self._greeting_left)
             self._greeting_left -= len(start)
             return start
@@ -109,8 +112,8 @@
 
 
 class StoreAnswers(Rewriter):
-    """Translates the store's answers over HTTP: pages of the newest records, which are
-    JSON with values in base64, and records from an offset on, which are binary."""
+    """Translates the HTTP answers of the store: pages of the newest records (JSON with
+    values in base64) and records read from an offset (binary)."""
 
     def _next_message(self) -> bytes | None:
         head, end, rest = self._buffer.partition(b"\r\n\r\n")
@@ -118,7 +121,7 @@
             return None
         length = _content_length(head)
         if length is None or len(rest) < length:
-            # Without a length the answer is none of those that hold addresses.
+            # Answers that hold addresses always have a Content-Length.
             return None if length is not None else self.flush()
         body, self._buffer = rest[:length], rest[length:]
         translated = self._translate_body(body)
@@ -173,7 +176,7 @@
 
 
 def _translate_value(value: bytes, translate: Translate) -> bytes:
-    """Translate a record's value: JSON of the platform, or packed by the program."""
+    """Translate a record's value: the platform's JSON or the program's MessagePack."""
     if ADDRESS_PREFIX not in value:
         return value
     if value[:1] != b"{":
