--- a/features/links.feature
+++ b/features/links.feature
@@ -1,36 +1,36 @@
-Feature: Links between every two places can be disturbed
-  Between two plain sockets, what each kind of fault does; then with real processes.
+Feature: Faults can be injected into the link between any two places
+  First the effect of each kind of fault between two plain sockets, then real processes.
 
-  Scenario: A link that is cut delivers nothing, and afterwards what was sent meanwhile
+  Scenario: A cut link delivers nothing, and after the cut what was sent during it
     Given a link from n1 to n2 with an open connection
     When the link is cut
     And n1 sends "a" on the open connection
     Then nothing arrives at n2 within 0.2 seconds
-    And no new connection comes about within 0.2 seconds
-    When the links are good again
+    And no new connection is established within 0.2 seconds
+    When the links are healed
     Then "a" arrives at n2 within 1 seconds
-    And a new connection carries bytes both ways within 2.5 seconds
+    And a new connection carries bytes in both directions within 2.5 seconds
 
-  Scenario: A link that is cut one way still delivers the other way
+  Scenario: A link that is cut in one direction still delivers in the other
     Given a link from n1 to n2 with an open connection
     When the link is cut from n1 to n2 only
     And n1 sends "a" on the open connection
     And n2 sends "b" on the open connection
     Then "b" arrives at n1 within 1 seconds
     And nothing arrives at n2 within 0.2 seconds
-    And no new connection comes about within 0.2 seconds
+    And no new connection is established within 0.2 seconds
 
-  Scenario: What a side sent before it closed arrives after the cut, and then the end
+  Scenario: Bytes sent before a close arrive after the cut, and then the end
     Given a link from n1 to n2 with an open connection
     When the link is cut
     And n1 sends "a" on the open connection
     And n1 closes the open connection
     Then nothing arrives at n2 within 0.2 seconds
-    When the links are good again
+    When the links are healed
     Then "a" arrives at n2 within 1 seconds
     And n2 sees the end of the open connection
 
-  Scenario: A link with a delay delivers that much later
+  Scenario: A link with a delay delivers later by the delay
     Given a link from n1 to n2 with an open connection
     When the link has the fault delay of 0.25 from n1 to n2 only
     And n2 sends "b" on the open connection
@@ -38,7 +38,7 @@
     Then "b" arrives at n1 within 0.2 seconds
     And "a" arrives at n2 after 0.25 to 1 seconds
 
-  Scenario: A slow link delivers so many bytes a second
+  Scenario: A slow link delivers at most its amount of bytes per second
     Given a link from n1 to n2 with an open connection
     When the link has the fault slow of 20000 from n1 to n2 only
     And n1 sends 8000 bytes on the open connection
@@ -49,55 +49,55 @@
     When the link has the fault reset
     Then n1 sees a reset of the open connection
     And a new connection is reset
-    When the links are good again
-    Then a new connection carries bytes both ways within 1 seconds
+    When the links are healed
+    Then a new connection carries bytes in both directions within 1 seconds
 
-  Scenario: An answer is lost, and its connection stays silent
+  Scenario: A connection that lost an answer delivers no later answer either
     Given a link from n1 to n2 with an open connection
     When the link has the fault lost_answer from n1 to n2 only
     And n1 sends "a" on the open connection
     Then "a" arrives at n2 within 1 seconds
     When n2 sends "b" on the open connection
     Then nothing arrives at n1 within 0.2 seconds
-    When the links are good again
+    When the links are healed
     And n2 sends "c" on the open connection
     Then nothing arrives at n1 within 0.2 seconds
-    And a new connection carries bytes both ways within 1 seconds
+    And a new connection carries bytes in both directions within 1 seconds
 
-  Scenario: What comes late is overtaken by what goes over a newer connection
+  Scenario: Late bytes are overtaken by those on a newer connection
     Given a link from n1 to n2 with an open connection
     When the link has the fault late of 0.4 from n1 to n2 only
     And n1 sends "a" on the open connection
-    Then a new connection carries bytes both ways within 0.2 seconds
+    Then a new connection carries bytes in both directions within 0.2 seconds
     And "a" arrives at n2 after 0.3 to 1 seconds
 
-  Scenario: An answer comes late, after newer calls were answered
+  Scenario: A late answer arrives after those to newer calls
     Given a link from n1 to n2 with an open connection
     When the link has the fault late of 0.4 from n2 to n1 only
     And n1 sends "a" on the open connection
     Then "a" arrives at n2 within 0.2 seconds
     When n2 sends "b" on the open connection
-    Then a new connection carries bytes both ways within 0.2 seconds
+    Then a new connection carries bytes in both directions within 0.2 seconds
     And "b" arrives at n1 after 0.2 to 1 seconds
 
-  Scenario: A data hall is cut off from all outside it, and not within
+  Scenario: A cut of a data hall affects links to the outside, not those within
     Given places n1 and b1 in hall-1, n2 and b2 in hall-2, a store and a client
-    Then a cut of hall-1 is about these ways
+    Then a cut of hall-1 affects these directions
       | source | target |
       | n1     | b2     |
       | n1     | client |
       | n1     | n2     |
       | n1     | store  |
       | b1     | n2     |
-    And a cut of hall-1 and hall-2 is about these ways
+    And a cut of hall-1 and hall-2 affects these directions
       | source | target |
       | n1     | b2     |
       | n1     | n2     |
       | b1     | n2     |
 
-  Scenario Outline: A fault that can't be is refused by name before anything starts
-    When a cluster is to start with the fault <fault>
-    Then that is refused as <error>, naming <name>, and nothing was started
+  Scenario Outline: An invalid fault is refused with its error before anything starts
+    When a cluster is started with the fault <fault>
+    Then the fault is refused as <error>, naming <name>, and nothing was started
 
     Examples:
       | fault                                                | error            | name   |
@@ -112,14 +112,14 @@
       | {"kind":"cut","source":"n1","target":"n2","amount":2}  | UnusableAmount  | 2.0    |
       | {"kind":"late","source":"n1","target":"n2","amount":"x"} | UnusableAmount | x     |
 
-  Scenario: Addresses are translated on their way, however the bytes are cut up
-    Given a message of a process that names itself, the decider and a relay
+  Scenario: Addresses are translated in transit, in whatever pieces the bytes arrive
+    Given a message of a process that names itself, the leader and a relay
     When it is sent to another process in pieces of 1, 7, 100 and 5000 bytes
-    Then each address arrives as the reader's own, and all else as it was sent
-    And so it does in the store's pages and records
+    Then each address arrives translated for the receiver, and all else unchanged
+    And the same holds for the store's pages and records
 
-  Scenario: Two runs beside each other have no address in common
-    When 5 runs reserve addresses, each as if it were the first
+  Scenario: Concurrent runs have no address in common
+    When 5 runs reserve addresses, each from the same first candidate
     Then no two have an address in common
 
   Scenario: Real processes reach each other, the boxes and the store only through the proxy
@@ -127,30 +127,30 @@
     When a job of 2 steps is completed
     Then every open connection to a process, a box or the store is the proxy's
 
-  Scenario: The decider is cut off from everybody for 2.5 seconds while a job runs
+  Scenario: The leader is isolated for 2.5 seconds while a job runs
     Given 3 processes and 4 boxes with links
-    When a job runs and the decider is cut off for 2.5 seconds
-    Then another process decided meanwhile
-    And the job is completed as every process tells
+    When a job runs and the leader is cut off for 2.5 seconds
+    Then another process was the leader meanwhile
+    And the job is completed at every process
     And each task of the job was done once
 
-  Scenario: A hall is cut off, and cutting off one that there is not is refused
+  Scenario: A data hall is cut off, and a cut of an unknown one is refused
     Given 3 processes and 4 boxes with links
-    Then a cut of hall-9 is refused by its name, and a cut of n1 and n7 as well
+    Then a cut of hall-9 is refused with its name, and a cut of n1 and n7 as well
     When hall-1 is cut off
     Then a call of a client to n1 is not answered, and one to n2 is
 
-  Scenario: A proxy that dies is a fault of the rig
+  Scenario: The end of the proxy is a fault of the rig
     Given 3 processes and 4 boxes with links
     When the proxy dies
     Then the run ends as a fault of the rig
-    And so does the next fault that is asked for
+    And so does the injection of a fault
 
-  Scenario: A connection that the proxy itself can't carry is a fault of the rig
+  Scenario: An error of the proxy on a connection is a fault of the rig
     Given a link from n1 to n2 with an open connection
     When the proxy fails over bytes that n1 sends
-    Then it ends with that failure
+    Then the proxy ends with that error
 
-  Scenario: Real processes and the links between them are disturbed from seed 7001
+  Scenario: Random faults of processes and links break no promise to clients
     When 4 real processes, 8 boxes, the store and all links are disturbed 30 times from seed 7001
     Then every promise that clients were given was kept
--- a/features/steps/link_fault_steps.py
+++ b/features/steps/link_fault_steps.py
@@ -1,5 +1,5 @@
-"""Steps of the scenarios over what each kind of fault of a link does, between two plain
-sockets with the proxy in this process."""
+"""Steps for the effect of each kind of link fault, between two plain sockets with the
+proxy in this process."""
 
 import asyncio
 import collections
@@ -22,8 +22,8 @@
 
 
 class ProxiedConnection:
-    """A process that connects to another one, each a plain socket, with a proxy between
-    them. The loop runs only while a step waits."""
+    """A connection from n1 to n2, both plain sockets, through a proxy. The event loop runs
+    only while a step waits."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -40,7 +40,7 @@
         address = f"{host}:{port}"
         places = {
             "n1": Place(PlaceKind.NODE, "h1", ("127.0.0.1:1", "127.0.0.1:2")),
-            # The first would be the port of peers, whose messages are translated.
+            # The first address is for peers, whose messages would be translated.
             "n2": Place(PlaceKind.NODE, "h2", ("127.0.0.1:3", address)),
         }
         self.proxy = LinkProxy(Topology(places), "127.0.0.1")
@@ -84,7 +84,7 @@
         self.wait_until(lambda: False, seconds)
 
     async def echo(self, seconds):
-        """Say whether a new connection carries bytes both ways in time."""
+        """Return what a new connection echoes, or None if it takes too long."""
         try:
             async with asyncio.timeout(seconds):
                 reader, writer = await asyncio.open_connection(*self.address)
@@ -102,7 +102,7 @@
         self.wait(0.005)
 
     def stop(self):
-        """End what runs; as a cluster does."""
+        """Close all connections and tasks; called like the method of a cluster."""
         self.server.close()
         for writer in (self.writer, *self.accepted):
             writer.transport.abort()
@@ -153,7 +153,7 @@
     set_fault(context, kind)
 
 
-@when("the links are good again")
+@when("the links are healed")
 def heal_links(context):
     async def act():
         context.cluster.proxy.heal()
@@ -224,7 +224,7 @@
     )
 
 
-@then("no new connection comes about within {seconds:g} seconds")
+@then("no new connection is established within {seconds:g} seconds")
 def no_connection(context, seconds):
     async def connect():
         try:
@@ -238,7 +238,7 @@
     assert outcome is None, outcome
 
 
-@then("a new connection carries bytes both ways within {seconds:g} seconds")
+@then("a new connection carries bytes in both directions within {seconds:g} seconds")
 def new_connection(context, seconds):
     data = context.cluster.loop.run_until_complete(context.cluster.echo(seconds))
     assert data == b"new", data
@@ -275,12 +275,12 @@
     assert set(both) == wanted | {(b, a) for a, b in wanted}, both
 
 
-@then("a cut of {hall:S} is about these ways")
+@then("a cut of {hall:S} affects these directions")
 def directions_of_hall(context, hall):
     check_directions(context, hall, ALL_OTHERS)
 
 
-@then("a cut of {source:S} and {target:S} is about these ways")
+@then("a cut of {source:S} and {target:S} affects these directions")
 def directions_of_halls(context, source, target):
     check_directions(context, source, target)
 
@@ -292,7 +292,7 @@
         context.cluster.wait(0.05)
 
 
-@then("it ends with that failure")
+@then("the proxy ends with that error")
 def ends_with_failure(context):
     async def failure():
         async with asyncio.timeout(1.0):
@@ -301,7 +301,7 @@
     try:
         context.cluster.loop.run_until_complete(failure())
     except ExceptionGroup as error:
-        # One for each direction that failed.
+        # Holds one error for each direction that failed.
         assert error.subgroup(ZeroDivisionError) is not None, error
         return
     raise AssertionError("no failure")
--- a/features/steps/link_view_steps.py
+++ b/features/steps/link_view_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenario over addresses that the proxy translates."""
+"""Steps for the addresses that the proxy translates."""
 
 import base64
 import json
@@ -31,7 +31,7 @@
     return bytes((flags, len(body))) + body
 
 
-@given("a message of a process that names itself, the decider and a relay")
+@given("a message of a process that names itself, the leader and a relay")
 def messages(context):
     own, other = VIEWS
     status = NodeStatus(
@@ -84,7 +84,7 @@
     return [decode_envelope(body) for flag, body in bodies if not flag]
 
 
-@then("each address arrives as the reader's own, and all else as it was sent")
+@then("each address arrives translated for the receiver, and all else unchanged")
 def translated(context):
     status, call = (envelope.message for envelope in context.sent)
     members = tuple(
@@ -104,7 +104,7 @@
         assert [envelope.message for envelope in received] == wanted, received
 
 
-@then("so it does in the store's pages and records")
+@then("the same holds for the store's pages and records")
 def store_translated(context):
     own = next(iter(VIEWS))
     node = msgspec.msgpack.encode([own, "h", 1.0])
--- a/features/steps/linked_cluster_steps.py
+++ b/features/steps/linked_cluster_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios over real processes whose links go through the proxy."""
+"""Steps for real processes whose links go through the proxy."""
 
 import contextlib
 import json
@@ -27,7 +27,7 @@
 ]
 
 
-@when("a cluster is to start with the fault {fault}")
+@when("a cluster is started with the fault {fault}")
 def bad_start(context, fault):
     context.error = None
     try:
@@ -37,14 +37,14 @@
         context.error = error
 
 
-@then("that is refused as {error}, naming {name}, and nothing was started")
+@then("the fault is refused as {error}, naming {name}, and nothing was started")
 def refused(context, error, name):
     assert type(context.error).__name__ == error, repr(context.error)
     assert name in str(context.error), context.error
     assert not list(context.folder.iterdir()), list(context.folder.iterdir())
 
 
-@when("{count:d} runs reserve addresses, each as if it were the first")
+@when("{count:d} runs reserve addresses, each from the same first candidate")
 def reserve(context, count):
     nets = []
     for _ in range(count):
@@ -74,7 +74,7 @@
 
 
 def sockets_of(pid):
-    """Return the numbers of a process's sockets."""
+    """Return the inode numbers of a process's sockets."""
     found = set()
     for entry in pathlib.Path(f"/proc/{pid}/fd").iterdir():
         with contextlib.suppress(OSError):
@@ -85,7 +85,7 @@
 
 
 def connections(pid):
-    """Return where a process's sockets are connected to, IP:PORT, but for listeners."""
+    """Return the remote addresses of a process's established connections, IP:PORT."""
     mine, found = sockets_of(pid), []
     for line in pathlib.Path("/proc/net/tcp").read_text().splitlines()[1:]:
         fields = line.split()
@@ -112,7 +112,7 @@
         assert not direct, (name, direct)
 
 
-@when("a job runs and the decider is cut off for {seconds:g} seconds")
+@when("a job runs and the leader is cut off for {seconds:g} seconds")
 def cut_decider(context, seconds):
     cluster = context.cluster
     cluster.submit(JOB, TWO_STEPS, spec="1500")
@@ -126,12 +126,12 @@
     cluster.links.heal()
 
 
-@then("another process decided meanwhile")
+@then("another process was the leader meanwhile")
 def another_decided(context):
     assert context.meanwhile not in (None, context.before), context.meanwhile
 
 
-@then("the job is completed as every process tells")
+@then("the job is completed at every process")
 def completed_everywhere(context):
     cluster = context.cluster
     for name in cluster.nodes():
@@ -147,7 +147,7 @@
     assert sorted(done) == wanted, done
 
 
-@then("a cut of {hall} is refused by its name, and a cut of n1 and n7 as well")
+@then("a cut of {hall} is refused with its name, and a cut of n1 and n7 as well")
 def refused_by_name(context, hall):
     links = context.cluster.links
     for action, name, kind in (
@@ -193,7 +193,7 @@
     raise AssertionError("no fault of the rig")
 
 
-@then("so does the next fault that is asked for")
+@then("so does the injection of a fault")
 def rig_fault_again(context):
     try:
         context.cluster.links.cut("n1", "n2")
@@ -207,7 +207,7 @@
     "{times:d} times from seed {seed:d}"
 )
 def disturb_links(context, nodes, boxes, times, seed):
-    # Raises with the seed and the logs when a promise was broken.
+    # Raises an error with the seed and the logs if a promise was broken.
     context.times = times
     context.counts = soak(seed, nodes, boxes, times, links=True).counts
     assert context.counts["link_fault"] > 0, context.counts
