--- a/features/links.feature
+++ b/features/links.feature
@@ -151,6 +151,6 @@
     When the proxy fails over bytes that n1 sends
     Then the proxy ends with that error
 
-  Scenario: Random faults of processes and links break no promise to clients
+  Scenario: Random faults of processes and links from seed 7001 break no promise
     When 4 real processes, 8 boxes, the store and all links are disturbed 30 times from seed 7001
     Then every promise that clients were given was kept
