--- a/features/steps/link_fault_steps.py
+++ b/features/steps/link_fault_steps.py
@@ -188,8 +188,8 @@
     assert connection.wait_until(lambda: connection.arrived[name] == data, max_s), (
         connection.arrived
     )
-    took = time.monotonic() - connection.sent_at
-    assert took >= min_s, took
+    elapsed_s = time.monotonic() - connection.sent_at
+    assert elapsed_s >= min_s, elapsed_s
     connection.arrived[name] = b""
 
 
@@ -269,8 +269,8 @@
 
 def check_directions(context, source, target):
     wanted = {(row["source"], row["target"]) for row in context.table}
-    one_way = context.topology.directions(Fault(FaultKind.CUT, source, target, False))
-    assert set(one_way) == wanted, one_way
+    forward = context.topology.directions(Fault(FaultKind.CUT, source, target, False))
+    assert set(forward) == wanted, forward
     both = context.topology.directions(Fault(FaultKind.CUT, source, target))
     assert set(both) == wanted | {(b, a) for a, b in wanted}, both
 
--- a/features/steps/linked_cluster_steps.py
+++ b/features/steps/linked_cluster_steps.py
@@ -113,7 +113,7 @@
 
 
 @when("a job runs and the leader is cut off for {seconds:g} seconds")
-def cut_decider(context, seconds):
+def cut_leader(context, seconds):
     cluster = context.cluster
     cluster.submit(JOB, TWO_STEPS, spec="1500")
     cluster.wait(lambda: len(cluster.history()) == 3, "first step started")
@@ -127,7 +127,7 @@
 
 
 @then("another process was the leader meanwhile")
-def another_decided(context):
+def another_leader(context):
     assert context.meanwhile not in (None, context.before), context.meanwhile
 
 
--- a/src/granitetrestle_standins/linkpipes.py
+++ b/src/granitetrestle_standins/linkpipes.py
@@ -130,34 +130,34 @@
 
     async def _deliver(self) -> None:
         while True:
-            arrived = await self._in_flight.get()
-            await self._wait(arrived.at)
+            chunk = await self._in_flight.get()
+            await self._wait(chunk.at)
             if (
                 self._request_condition is not None
                 and self._request_condition.loses_answers
             ):
                 self._answer_lost = True
             if self._answer_lost:
-                if not arrived.data:
+                if not chunk.data:
                     return
                 continue
-            if arrived.was_reset:
+            if chunk.was_reset:
                 reset_writer(self._writer)
                 return
             try:
-                if not arrived.data:
+                if not chunk.data:
                     self._writer.write_eof()
                     return
-                await self._write(arrived.data)
+                await self._write(chunk.data)
             except (OSError, RuntimeError):
                 # The receiver is gone; the flow of the other direction reports that.
                 return
 
-    async def _wait(self, arrived_at: float) -> None:
+    async def _wait(self, received_at: float) -> None:
         now = asyncio.get_running_loop().time
         while True:
             await self._condition.wait_passable()
-            due = max(arrived_at + self._condition.delay_s, self.held_until)
+            due = max(received_at + self._condition.delay_s, self.held_until)
             if due <= now():
                 return
             await asyncio.sleep(min(due - now(), RECHECK_INTERVAL_S))
@@ -165,15 +165,15 @@
     async def _write(self, data: bytes) -> None:
         now = asyncio.get_running_loop().time
         while data:
-            step = len(data)
+            size = len(data)
             if rate := self._condition.bytes_per_s:
-                step = max(1, int(rate * SLOW_INTERVAL_S))
-                turn = self._condition.reserve(len(data[:step]), now())
-                await asyncio.sleep(max(0.0, turn - now()))
+                size = max(1, int(rate * SLOW_INTERVAL_S))
+                sent_by = self._condition.reserve(len(data[:size]), now())
+                await asyncio.sleep(max(0.0, sent_by - now()))
                 await self._condition.wait_passable()
-            self._writer.write(data[:step])
+            self._writer.write(data[:size])
             await self._writer.drain()
-            data = data[step:]
+            data = data[size:]
 
 
 class Pipe:
@@ -213,10 +213,10 @@
             return
         self._writers = (client, server)
         for writer in self._writers:
-            channel = writer.get_extra_info("socket")
+            connection = writer.get_extra_info("socket")
             # One side may have been reset while the other was being opened.
             with contextlib.suppress(OSError):
-                channel.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         request_rewriter, answer_rewriter = self._rewriters
         self._flows = (
             _Flow(client_reader, server, self._forward, request_rewriter, None),
@@ -248,9 +248,9 @@
 
 def reset_writer(writer: asyncio.StreamWriter) -> None:
     """Close a connection by a reset."""
-    channel = writer.get_extra_info("socket")
+    connection = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
-        channel.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
     writer.transport.abort()
 
 
--- a/src/granitetrestle_standins/linkproxy.py
+++ b/src/granitetrestle_standins/linkproxy.py
@@ -336,8 +336,10 @@
             self._log.event("link_fault", **fault._asdict())
         elif name == "heal":
             self._proxy.heal(self._directions_to_heal(command))
-            named = {key: command.get(key, ALL_OTHERS) for key in ("source", "target")}
-            self._log.event("link_healed", **named)
+            log_fields = {
+                key: command.get(key, ALL_OTHERS) for key in ("source", "target")
+            }
+            self._log.event("link_healed", **log_fields)
         elif name == "figures":
             return self._proxy.read_metrics()
         else:
--- a/src/granitetrestle_standins/linkviews.py
+++ b/src/granitetrestle_standins/linkviews.py
@@ -101,8 +101,8 @@
         return _encode_frame(flags, _translate_msgpack(frame[head:], self._translate))
 
     def _consume(self, length: int) -> bytes:
-        taken, self._buffer = self._buffer[:length], self._buffer[length:]
-        return taken
+        consumed, self._buffer = self._buffer[:length], self._buffer[length:]
+        return consumed
 
 
 def _encode_frame(flags: int, body: bytes) -> bytes:
