--- a/features/links.feature
+++ b/features/links.feature
@@ -1,5 +1,5 @@
 Feature: Faults can be injected into the link between any two places
-  First the effect of each kind of fault between two plain sockets, then real processes.
+  First the effect of each kind of fault between plain sockets, then real processes.
 
   Scenario: A cut link delivers nothing, and after the cut what was sent during it
     Given a link from n1 to n2 with an open connection
--- a/features/steps/link_fault_steps.py
+++ b/features/steps/link_fault_steps.py
@@ -22,8 +22,8 @@
 
 
 class ProxiedConnection:
-    """A connection from n1 to n2, both plain sockets, through a proxy. The event loop runs
-    only while a step waits."""
+    """A connection from n1 to n2, both plain sockets, through a proxy. The event loop
+    runs only while a step waits."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
--- a/src/granitetrestle_standins/linkfaults.py
+++ b/src/granitetrestle_standins/linkfaults.py
@@ -1,6 +1,6 @@
-"""Network faults that can be injected into links, and the topology of the links. A fault
-is checked against the topology before anything starts, so that one that names no link is
-refused and not silently without effect."""
+"""Network faults that can be injected into links, and the topology of the links. A
+fault is checked against the topology before anything starts, so that one that names no
+link is refused and not silently without effect."""
 
 import enum
 import math
--- a/src/granitetrestle_standins/linkpipes.py
+++ b/src/granitetrestle_standins/linkpipes.py
@@ -1,7 +1,8 @@
 """Forwarding of a single connection through the proxy. Bytes read from one side are
 delivered to the other as the current condition of that direction allows. The end of a
-connection is delivered in order like bytes: if a side closes or resets while the direction
-is cut, the other side sees it only after the cut, and after all bytes sent before it."""
+connection is delivered in order like bytes: if a side closes or resets while the
+direction is cut, the other side sees it only after the cut, and after all bytes sent
+before it."""
 
 import asyncio
 import contextlib
@@ -208,7 +209,7 @@
         try:
             server_reader, server = await asyncio.open_connection(*target)
         except OSError:
-            # Nothing listens there. An accepted connection can't be refused, only reset.
+            # Nothing listens there. An accepted connection can only be reset.
             self.reset()
             return
         self._writers = (client, server)
--- a/src/granitetrestle_standins/linkproxy.py
+++ b/src/granitetrestle_standins/linkproxy.py
@@ -1,13 +1,15 @@
 """TCP proxy for all links of a cluster, in one process on the loopback: links between
 processes, from processes to boxes and to the store, and from clients to processes. Each
 pair of source and target address has a port of its own, so that the proxy knows which
-link a connection belongs to; :mod:`.linkviews` describes how a place learns of that port.
-Faults are set by JSON lines on a control port; :class:`.links.Links` is the client.
+link a connection belongs to; :mod:`.linkviews` describes how a place learns of that
+port. Faults are set by JSON lines on a control port; :class:`.links.Links` is the
+client.
 
-While a link is cut in either direction, no new connection can be established: the accept
-queue of its port is kept full, so that the kernel answers no further SYN. The proxy differs
-from a real network in two ways: a connection to an address where nothing listens is reset
-rather than refused, and bytes are acknowledged to the sender once the proxy has them."""
+While a link is cut in either direction, no new connection can be established: the
+accept queue of its port is kept full, so that the kernel answers no further SYN. The
+proxy differs from a real network in two ways: a connection to an address where nothing
+listens is reset rather than refused, and bytes are acknowledged to the sender once the
+proxy has them."""
 
 import argparse
 import asyncio
@@ -136,8 +138,8 @@
                 self._place_names[address] = name
                 self._real_addresses[address] = address
         self.lag_s = 0.0
-        # An error of the proxy itself ends it, since its effects would otherwise be taken
-        # for faults of the program under test.
+        # An error of the proxy itself ends it, since its effects would otherwise be
+        # taken for faults of the program under test.
         self._failed: asyncio.Future[t.Never] = asyncio.Future()
 
     def view(self, source: str, address: str) -> str:
--- a/src/granitetrestle_standins/links.py
+++ b/src/granitetrestle_standins/links.py
@@ -1,6 +1,6 @@
 """Client of the link proxy: injects faults into the links of a cluster and heals them.
-A failure of the proxy raises :class:`RigFault`, so that it isn't taken for a fault of the
-program under test."""
+A failure of the proxy raises :class:`RigFault`, so that it isn't taken for a fault of
+the program under test."""
 
 import json
 import pathlib
--- a/src/granitetrestle_standins/linkviews.py
+++ b/src/granitetrestle_standins/linkviews.py
@@ -3,11 +3,11 @@
 program takes addresses from the store and from messages of its peers, so the proxy
 replaces each address there by the one that the receiver must use.
 
-Translated are the answers of the store (entries of processes and boxes) and the messages
-between processes: ``NodeStatus`` (``address``, ``leader_address``, the addresses of
-``members``) and ``CallForwarded`` (``reply_to``). No link of the program bypasses the proxy,
-since a process only learns of translated addresses. Only the tests connect directly, to
-test hooks and to the ports for readiness and metrics."""
+Translated are the answers of the store (entries of processes and boxes) and the
+messages between processes: ``NodeStatus`` (``address``, ``leader_address``, the
+addresses of ``members``) and ``CallForwarded`` (``reply_to``). No link of the program bypasses the
+proxy, since a process only learns of translated addresses. Only the tests connect
+directly, to test hooks and to the ports for readiness and metrics."""
 
 import abc
 import base64
@@ -36,7 +36,8 @@
 class Rewriter(abc.ABC):
     """Translates the addresses in a stream of bytes, message by message.
 
-    :param translate: returns the receiver's form of an address, and other text unchanged.
+    :param translate: returns the receiver's form of an address, and other text
+        unchanged.
     """
 
     def __init__(self, translate: Translate) -> None:
@@ -72,8 +73,8 @@
 
 
 class PeerFrames(Rewriter):
-    """Translates the messages between processes: ZMTP frames, of which the second one of
-    each message holds an envelope."""
+    """Translates the messages between processes: ZMTP frames, of which the second one
+    of each message holds an envelope."""
 
     def __init__(self, translate: Translate) -> None:
         super().__init__(translate)
