--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -25,7 +25,7 @@
 from granitetrestle_standins.runfacts import job_of
 from granitetrestle_standins.runjudge import ViolationKind
 from granitetrestle_standins.runjudge import judge
-from granitetrestle_standins.soakwitness import SoakObserver
+from granitetrestle_standins.soakobserver import SoakObserver
 
 EARLIER_JOB = "a" * 16
 JOB = "b" * 16
--- a/src/granitetrestle_standins/nativesoak.py
+++ b/src/granitetrestle_standins/nativesoak.py
@@ -24,7 +24,7 @@
 from .runfacts import ClientEvent
 from .soakcrashes import SoakCrashes
 from .soaklinks import LinkFaults
-from .soakwitness import SoakObserver
+from .soakobserver import SoakObserver
 from .storereadings import READINGS
 
 __all__ = [
@@ -190,7 +190,7 @@
             raise
         finally:
             self._observer.stop()
-            self._thaw(all_faults=True)
+            self._thaw(everything=True)
             self._cluster.stop()
 
     def _play(self) -> None:
@@ -201,7 +201,7 @@
             self._happen()
             self._crashes.crash_boxes(self._cluster)
             time.sleep(self._draw.uniform(0.05, 0.35))
-            self._thaw(all_faults=False)
+            self._thaw(everything=False)
             if self._links is not None:
                 self._links.end_expired()
             self._judge(self._runs())
@@ -325,9 +325,9 @@
         assert self._links is not None
         self._links.inject(self._cluster.leader())
 
-    def _thaw(self, all_faults: bool) -> None:
+    def _thaw(self, everything: bool) -> None:
         for name, until in list(self._frozen.items()):
-            if all_faults or time.monotonic() > until:
+            if everything or time.monotonic() > until:
                 self._thaw_node(name)
 
     def _thaw_node(self, name: str) -> None:
@@ -396,9 +396,9 @@
 
     def _settle(self) -> None:
         """Take every hall back, let all be well, and wait for all work to end."""
-        self._thaw(all_faults=True)
+        self._thaw(everything=True)
         if self._links is not None:
-            self._links.end_expired(all_faults=True)
+            self._links.end_expired(everything=True)
         for box in range(self._cluster.boxes):
             self._cluster.box(box, "/test/late?share=0&s=0")
         for hall, spans in self._closed.items():
--- a/src/granitetrestle_standins/soaklinks.py
+++ b/src/granitetrestle_standins/soaklinks.py
@@ -76,9 +76,9 @@
                 # What is held back arrives by itself.
                 self._active.append(_ActiveFault(until, fault))
 
-    def end_expired(self, all_faults: bool = False) -> None:
+    def end_expired(self, everything: bool = False) -> None:
         """End faults whose time is over."""
-        if all_faults:
+        if everything:
             self._active.clear()
             self._links.heal()
             return
