--- a/src/granitetrestle_standins/nativeplatform.py
+++ b/src/granitetrestle_standins/nativeplatform.py
@@ -29,11 +29,11 @@
 from granitetrestle_standins.nativestore import OutOfSequence
 from granitetrestle_standins.nativestore import StoreModel
 from granitetrestle_standins.serving import serve
-from granitetrestle_standins.storereadings import LATER_S
 from granitetrestle_standins.storereadings import READINGS
+from granitetrestle_standins.storereadings import UNANSWERED_APPEND_DELAYS_S
 from granitetrestle_standins.storereadings import StoreReading
 from granitetrestle_standins.storereadings import Unanswered
-from granitetrestle_standins.storereadings import drawn_reading
+from granitetrestle_standins.storereadings import draw_reading
 
 __all__ = ["PlatformApp", "StoreServer", "main"]
 
@@ -164,7 +164,7 @@
         return delayed and self._draw.random() < DELAYED_APPEND_SHARE
 
     def _append_later(self, query: t.Mapping[str, str], body: bytes) -> None:
-        at = time.monotonic() + self._draw.uniform(*LATER_S)
+        at = time.monotonic() + self._draw.uniform(*UNANSWERED_APPEND_DELAYS_S)
         self.model.append_later(at, query["topic"], _decode(body), _writer(query))
 
     def _newest(self, topic: str, after: str) -> Reply:
@@ -327,7 +327,7 @@
     arguments = parser.parse_args()
     draw = random.Random(arguments.seed)
     reading = (
-        drawn_reading(draw)
+        draw_reading(draw)
         if arguments.reading == DRAWN
         else READINGS[arguments.reading]
     )
--- a/src/granitetrestle_standins/nativesoak.py
+++ b/src/granitetrestle_standins/nativesoak.py
@@ -207,7 +207,7 @@
             self._judge(self._runs())
         if self._crashes.power_off(self._cluster):
             self._frozen.clear()
-            self._observer.disturbed()
+            self._observer.record_disturbance()
         self._settle()
         self._observer.stop()
         self._judge_facts()
@@ -281,23 +281,23 @@
         status = self._ask("POST", job, body)
         if status == 200:
             self._accepted.add(job)
-            self._observer.told(job, ClientEvent.ACCEPTED)
+            self._observer.record_event(job, ClientEvent.ACCEPTED)
         elif status == REFUSED:
             self._refused.add(job)
-            self._observer.told(job, ClientEvent.REFUSED)
+            self._observer.record_event(job, ClientEvent.REFUSED)
 
     def _cancel(self) -> None:
         if self._accepted:
             job = self._draw.choice(sorted(self._accepted))
             self._cancelled.add(job)
-            self._observer.told(job, ClientEvent.CANCEL_SENT)
+            self._observer.record_event(job, ClientEvent.CANCEL_SENT)
             self._ask("DELETE", job)
 
     def _kill(self) -> None:
         name = self._any_node()
         self._thaw_node(name)
         self._cluster.kill(name)
-        self._observer.disturbed()
+        self._observer.record_disturbance()
         self._cluster.restart(name)
 
     def _stop(self) -> None:
@@ -305,7 +305,7 @@
         self._thaw_node(name)
         self._cluster.kill(name, signal.SIGTERM)
         self._cluster.restart(name)
-        self._observer.disturbed()
+        self._observer.record_disturbance()
 
     def _freeze(self) -> None:
         leader = self._cluster.leader()
@@ -333,7 +333,7 @@
     def _thaw_node(self, name: str) -> None:
         if self._frozen.pop(name, None) is not None:
             self._cluster.kill(name, signal.SIGCONT)
-            self._observer.disturbed()
+            self._observer.record_disturbance()
 
     def _box_silent(self) -> None:
         box = self._draw.randrange(self._cluster.boxes)
@@ -343,7 +343,7 @@
         how = self._draw.choice(("busy", "silent", "slow"))
         seconds = self._draw.choice((0.5, 1.5, 3.0))
         self._cluster.store(f"/test/store?how={how}&s={seconds}")
-        self._observer.disturbed(time.monotonic() + seconds)
+        self._observer.record_disturbance(time.monotonic() + seconds)
 
     def _evacuate(self) -> None:
         hall = self._draw.choice(HALLS)
@@ -421,7 +421,7 @@
         except AssertionError as error:
             state = self._cluster.state(job)
             if state is None:
-                self._observer.told(job, ClientEvent.UNANSWERED)
+                self._observer.record_event(job, ClientEvent.UNANSWERED)
             raise PromiseBroken(f"{job} was accepted and is {state}", job) from error
 
 
--- a/src/granitetrestle_standins/nativestore.py
+++ b/src/granitetrestle_standins/nativestore.py
@@ -17,8 +17,8 @@
 from granitetrestle.interfaces import StoreUnavailable
 from granitetrestle.interfaces import Writer
 from granitetrestle_standins.storereadings import PLAIN
+from granitetrestle_standins.storereadings import ChangesOnPage
 from granitetrestle_standins.storereadings import EmptyAppend
-from granitetrestle_standins.storereadings import Pages
 from granitetrestle_standins.storereadings import StoreReading
 
 __all__ = ["MemoryStore", "OutOfSequence", "Page", "StoreModel"]
@@ -147,7 +147,7 @@
         kept = self._kept(topic, end)
         if not after:
             self._first_page_ends[topic] = end
-        elif self.reading.pages is Pages.OLD_OR_NEW:
+        elif self.reading.pages is ChangesOnPage.OLD_OR_NEW:
             kept = self._old_or_new(kept, topic)
         records = sorted(
             record
--- a/src/granitetrestle_standins/reservednet.py
+++ b/src/granitetrestle_standins/reservednet.py
@@ -8,12 +8,12 @@
 import socket
 import typing as t
 
-__all__ = ["NoNetFree", "ReservedNet"]
+__all__ = ["NoAddressBlockFree", "ReservedNet"]
 
 # Third byte of the addresses.
-NETS: t.Final = 250
+ADDRESS_BLOCKS: t.Final = 250
 # Hosts of a block that stand for processes; those above are the run's own.
-HOSTS: t.Final = 240
+MAX_HOSTS: t.Final = 240
 LOCK_HOST: t.Final = 254
 PLATFORM_HOST: t.Final = 253
 LINKS_HOST: t.Final = 252
@@ -24,10 +24,10 @@
 # Where each process of the program shows its figures, whatever else it is told.
 METRICS_PORT: t.Final = 9464
 
-_tries = itertools.count(os.getpid())
+_attempts = itertools.count(os.getpid())
 
 
-class NoNetFree(OSError):
+class NoAddressBlockFree(OSError):
     """All blocks of addresses are in use."""
 
 
@@ -35,16 +35,16 @@
     """A block of addresses; kept until :meth:`close`, or until this process ends."""
 
     def __init__(self) -> None:
-        for _ in range(NETS):
-            self._net = 1 + next(_tries) % NETS
-            lock = _bound(self._ip(LOCK_HOST), LOCK_PORT)
+        for _ in range(ADDRESS_BLOCKS):
+            self._block = 1 + next(_attempts) % ADDRESS_BLOCKS
+            lock = _bind(self._ip(LOCK_HOST), LOCK_PORT)
             if lock is None:
                 continue
             if self._unused():
                 self._lock = lock
                 return
             lock.close()
-        raise NoNetFree("no block of addresses is free")
+        raise NoAddressBlockFree("no block of addresses is free")
 
     @property
     def platform(self) -> str:
@@ -58,38 +58,42 @@
 
     def host(self, number: int) -> str:
         """Return the IP of a process, numbered from 1."""
-        block, host = divmod(number - 1, HOSTS)
-        return f"127.{FIRST_SECOND_BYTE + block}.{self._net}.{1 + host}"
+        offset, host = divmod(number - 1, MAX_HOSTS)
+        return f"127.{FIRST_SECOND_BYTE + offset}.{self._block}.{1 + host}"
 
     def close(self) -> None:
         """Give the block back."""
         self._lock.close()
 
     def _ip(self, host: int) -> str:
-        return f"127.{FIRST_SECOND_BYTE}.{self._net}.{host}"
+        return f"127.{FIRST_SECOND_BYTE}.{self._block}.{host}"
 
     def _unused(self) -> bool:
         """Say whether a run that reserves nothing, or one that was killed and left
         processes behind, is here."""
-        asked = ((self.host(1), METRICS_PORT), (self.host(1), FIRST_PORT))
-        for address in (*asked, (self.platform, FIRST_PORT), (self.links, FIRST_PORT)):
-            probe = _bound(*address, reuse=True)
+        program_addresses = ((self.host(1), METRICS_PORT), (self.host(1), FIRST_PORT))
+        for address in (
+            *program_addresses,
+            (self.platform, FIRST_PORT),
+            (self.links, FIRST_PORT),
+        ):
+            probe = _bind(*address, reuse=True)
             if probe is None:
                 return False
             probe.close()
         return True
 
 
-def _bound(ip: str, port: int, reuse: bool = False) -> socket.socket | None:
+def _bind(ip: str, port: int, reuse: bool = False) -> socket.socket | None:
     """Return a socket that is bound, or ``None`` if another one is.
 
     :param reuse: whether connections that were closed lately don't matter.
     """
-    bound = socket.socket()
+    sock = socket.socket()
     if reuse:
-        bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     with contextlib.suppress(OSError):
-        bound.bind((ip, port))
-        return bound
-    bound.close()
+        sock.bind((ip, port))
+        return sock
+    sock.close()
     return None
--- a/src/granitetrestle_standins/soakobserver.py
+++ b/src/granitetrestle_standins/soakobserver.py
@@ -30,14 +30,14 @@
 __all__ = ["SoakObserver"]
 
 # Fine enough to tell the bound for the next decision by.
-ASK_EVERY_S: t.Final = 0.1
+REQUEST_INTERVAL_S: t.Final = 0.1
 # A process that is frozen or cut off answers nothing; the next call goes out soon.
-ANSWER_S: t.Final = 0.6
+REQUEST_TIMEOUT_S: t.Final = 0.6
 GONE: t.Final = 410
 OK: t.Final = 200
 # Asked for while no job was accepted yet; that nobody knows it is an answer as well.
-NO_JOB: t.Final = "0" * 16
-SHOWN: t.Final = {
+UNKNOWN_JOB_ID: t.Final = "0" * 16
+EVENT_BY_STATE: t.Final = {
     "completed": ClientEvent.COMPLETED,
     "failed": ClientEvent.FAILED,
     "cancelled": ClientEvent.CANCELLED,
@@ -58,8 +58,8 @@
         self._probes: list[Probe] = []
         self._accepted: list[str] = []
         self._ended: set[str] = set()
-        self._asked = 0
-        self._over = threading.Event()
+        self._request_count = 0
+        self._stopped = threading.Event()
         self._threads: list[threading.Thread] = []
         self.last_fault = time.monotonic()
 
@@ -67,17 +67,19 @@
         """Begin to ask each process."""
         for name in self._cluster.nodes():
             address = self._cluster.fronts[name]
-            thread = threading.Thread(target=self._ask_on, args=(address,), daemon=True)
+            thread = threading.Thread(
+                target=self._send_requests, args=(address,), daemon=True
+            )
             thread.start()
             self._threads.append(thread)
 
     def stop(self) -> None:
         """Ask no more."""
-        self._over.set()
+        self._stopped.set()
         for thread in self._threads:
             thread.join()
 
-    def disturbed(self, until: float = 0.0) -> None:
+    def record_disturbance(self, until: float = 0.0) -> None:
         """Note a disturbance that is over at ``until``, or now."""
         self.last_fault = max(self.last_fault, until, time.monotonic())
 
@@ -85,7 +87,7 @@
         """Return once somebody has to have decided after the last disturbance."""
         time.sleep(max(0.0, self.last_fault + DECISION_TIMEOUT_S - time.monotonic()))
 
-    def told(self, job: str, told: ClientEvent) -> None:
+    def record_event(self, job: str, told: ClientEvent) -> None:
         """Note what a client was told, or sent; the same thing once for each job."""
         with self._lock:
             if any(fact.job == job and fact.told is told for fact in self._clients):
@@ -93,36 +95,43 @@
             self._clients.append(ClientFact(job, time.monotonic(), told))
             if told is ClientEvent.ACCEPTED:
                 self._accepted.append(job)
-            elif told in SHOWN.values():
+            elif told in EVENT_BY_STATE.values():
                 self._ended.add(job)
 
     def _next_job(self) -> str:
         """Return the job to ask for: those under way more often than those ended."""
         with self._lock:
-            self._asked += 1
+            self._request_count += 1
             jobs = self._accepted
-            if self._asked % 2:
-                under_way = [job for job in jobs if job not in self._ended]
-                jobs = under_way or jobs
-            return jobs[self._asked // 2 % len(jobs)] if jobs else NO_JOB
+            if self._request_count % 2:
+                unfinished = [job for job in jobs if job not in self._ended]
+                jobs = unfinished or jobs
+            return (
+                jobs[self._request_count // 2 % len(jobs)] if jobs else UNKNOWN_JOB_ID
+            )
 
-    def _ask_on(self, address: str) -> None:
+    def _send_requests(self, address: str) -> None:
         with httpcore.ConnectionPool(max_connections=1) as pool:
-            while not self._over.is_set():
-                self._ask(pool, address, self._next_job())
-                self._over.wait(ASK_EVERY_S)
+            while not self._stopped.is_set():
+                self._request_job(pool, address, self._next_job())
+                self._stopped.wait(REQUEST_INTERVAL_S)
 
-    def _ask(self, pool: httpcore.ConnectionPool, address: str, job: str) -> None:
+    def _request_job(
+        self, pool: httpcore.ConnectionPool, address: str, job: str
+    ) -> None:
         sent = time.monotonic()
         answered: float | None = None
         try:
             response = pool.request(
                 "GET",
                 f"http://{address}/jobs/{job}",
-                headers={"Host": HOST, "Deadline-Ms": str(int(ANSWER_S * 1000))},
+                headers={
+                    "Host": HOST,
+                    "Deadline-Ms": str(int(REQUEST_TIMEOUT_S * 1000)),
+                },
                 extensions={
                     "timeout": dict.fromkeys(
-                        ("connect", "read", "write", "pool"), ANSWER_S
+                        ("connect", "read", "write", "pool"), REQUEST_TIMEOUT_S
                     )
                 },
             )
@@ -131,18 +140,18 @@
         else:
             if response.status in (OK, GONE):
                 answered = time.monotonic()
-                self._answered(job, response)
+                self._record_answer(job, response)
         with self._lock:
             self._probes.append(Probe(sent, answered))
 
-    def _answered(self, job: str, response: httpcore.Response) -> None:
+    def _record_answer(self, job: str, response: httpcore.Response) -> None:
         if response.status == GONE:
-            if job != NO_JOB:
-                self.told(job, ClientEvent.GONE)
+            if job != UNKNOWN_JOB_ID:
+                self.record_event(job, ClientEvent.GONE)
             return
-        shown = SHOWN.get(json.loads(response.content)["state"])
-        if shown is not None:
-            self.told(job, shown)
+        event = EVENT_BY_STATE.get(json.loads(response.content)["state"])
+        if event is not None:
+            self.record_event(job, event)
 
     def facts(self) -> Facts:
         """Return all that was seen so far."""
@@ -195,6 +204,6 @@
         offset_s = time.time() - time.monotonic()
         lines = merged_timeline(facts, subject, violations, logs, offset_s)
         text = "\n".join(lines)
-        kept = folder / "timeline.txt"
-        kept.write_text(text + "\n")
-        return text if subject else f"{len(lines)} lines in {kept}"
+        path = folder / "timeline.txt"
+        path.write_text(text + "\n")
+        return text if subject else f"{len(lines)} lines in {path}"
--- a/src/granitetrestle_standins/storereadings.py
+++ b/src/granitetrestle_standins/storereadings.py
@@ -8,16 +8,16 @@
 
 __all__ = [
     "EmptyAppend",
-    "Pages",
+    "ChangesOnPage",
     "PLAIN",
     "READINGS",
     "StoreReading",
     "Unanswered",
-    "drawn_reading",
+    "draw_reading",
 ]
 
 # A call without an answer is done so much later, in seconds; the page says "seconds".
-LATER_S: t.Final = (1.0, 6.0)
+UNANSWERED_APPEND_DELAYS_S: t.Final = (1.0, 6.0)
 # Records on a page of the newest ones; the page allows 500 at most.
 PAGE_SIZES: t.Final = (2, 50, 500)
 
@@ -30,7 +30,7 @@
     TAKES_NUMBER = "takes its number"
 
 
-class Pages(enum.Enum):
+class ChangesOnPage(enum.Enum):
     """What a page of the newest records shows of a change since the first page."""
 
     NEW = "each change"
@@ -53,26 +53,26 @@
 
     name: str
     empty: EmptyAppend
-    pages: Pages
+    pages: ChangesOnPage
     unanswered: Unanswered
     page_size: int
 
 
 # The way in which the program was written; small pages show most about paging.
 PLAIN: t.Final = StoreReading(
-    "plain", EmptyAppend.TAKES_NO_NUMBER, Pages.NEW, Unanswered.AT_ONCE, 2
+    "plain", EmptyAppend.TAKES_NO_NUMBER, ChangesOnPage.NEW, Unanswered.AT_ONCE, 2
 )
 READINGS: t.Final[t.Mapping[str, StoreReading]] = {
     reading.name: reading
     for reading in (
         PLAIN,
         PLAIN._replace(name="numbered", empty=EmptyAppend.TAKES_NUMBER),
-        PLAIN._replace(name="mixed-pages", pages=Pages.OLD_OR_NEW),
+        PLAIN._replace(name="mixed-pages", pages=ChangesOnPage.OLD_OR_NEW),
         PLAIN._replace(name="late", unanswered=Unanswered.LATER),
         StoreReading(
             "other",
             EmptyAppend.TAKES_NUMBER,
-            Pages.OLD_OR_NEW,
+            ChangesOnPage.OLD_OR_NEW,
             Unanswered.LATER,
             50,
         ),
@@ -80,11 +80,11 @@
 }
 
 
-def drawn_reading(draw: random.Random) -> StoreReading:
+def draw_reading(rng: random.Random) -> StoreReading:
     """Return a reading of which each part is drawn; its name tells the parts."""
-    empty = draw.choice(tuple(EmptyAppend))
-    pages = draw.choice(tuple(Pages))
-    unanswered = draw.choice(tuple(Unanswered))
-    size = draw.choice(PAGE_SIZES)
+    empty = rng.choice(tuple(EmptyAppend))
+    pages = rng.choice(tuple(ChangesOnPage))
+    unanswered = rng.choice(tuple(Unanswered))
+    size = rng.choice(PAGE_SIZES)
     name = f"{empty.value}, {pages.value}, {unanswered.value}, {size} on a page"
     return StoreReading(name, empty, pages, unanswered, size)
