--- a/features/steps/linked_cluster_steps.py
+++ b/features/steps/linked_cluster_steps.py
@@ -48,7 +48,7 @@
 def reserve(context, count):
     nets = []
     for _ in range(count):
-        with unittest.mock.patch.object(reservednet, "_tries", iter(range(77, 500))):
+        with unittest.mock.patch.object(reservednet, "_attempts", iter(range(77, 500))):
             nets.append(reservednet.ReservedNet())
     context.addresses = [{net.platform, net.links, net.host(1)} for net in nets]
     for net in nets:
--- a/src/granitetrestle_standins/reservednet.py
+++ b/src/granitetrestle_standins/reservednet.py
@@ -1,6 +1,6 @@
-"""Addresses that one run has for itself, so that several runs beside each other start.
-A port that is looked for, freed and only then used can be taken meanwhile by another run;
-here a block of addresses of the loopback is reserved first, and ports in it are fixed."""
+"""Block of loopback addresses reserved for one test run, so that several runs can start
+at the same time. A free port that is found, closed and bound again later can be taken
+by another run in between; here a block is locked first and its ports are fixed."""
 
 import contextlib
 import itertools
@@ -10,29 +10,29 @@
 
 __all__ = ["NoAddressBlockFree", "ReservedNet"]
 
-# Third byte of the addresses.
+# Number of blocks; the third byte of an address is that of its block, from 1.
 ADDRESS_BLOCKS: t.Final = 250
-# Hosts of a block that stand for processes; those above are the run's own.
+# Last bytes of addresses for processes; higher ones serve the run itself.
 MAX_HOSTS: t.Final = 240
 LOCK_HOST: t.Final = 254
 PLATFORM_HOST: t.Final = 253
 LINKS_HOST: t.Final = 252
 FIRST_SECOND_BYTE: t.Final = 20
-# Below the ports that the kernel gives to connections, from 32768 on.
+# Below the ephemeral ports of the kernel, which start at 32768.
 LOCK_PORT: t.Final = 20000
 FIRST_PORT: t.Final = 20001
-# Where each process of the program shows its figures, whatever else it is told.
+# Each process of the program serves its metrics here, whatever its settings.
 METRICS_PORT: t.Final = 9464
 
 _attempts = itertools.count(os.getpid())
 
 
 class NoAddressBlockFree(OSError):
-    """All blocks of addresses are in use."""
+    """All address blocks are in use."""
 
 
 class ReservedNet:
-    """A block of addresses; kept until :meth:`close`, or until this process ends."""
+    """A block of addresses, reserved until :meth:`close` or the end of this process."""
 
     def __init__(self) -> None:
         for _ in range(ADDRESS_BLOCKS):
@@ -44,33 +44,33 @@
                 self._lock = lock
                 return
             lock.close()
-        raise NoAddressBlockFree("no block of addresses is free")
+        raise NoAddressBlockFree("no address block is free")
 
     @property
     def platform(self) -> str:
-        """IP of the store and the boxes."""
+        """IP address of the store and the boxes."""
         return self._ip(PLATFORM_HOST)
 
     @property
     def links(self) -> str:
-        """IP of the proxy for links."""
+        """IP address of the proxy for links."""
         return self._ip(LINKS_HOST)
 
     def host(self, number: int) -> str:
-        """Return the IP of a process, numbered from 1."""
+        """Return the IP address of a process, numbered from 1."""
         offset, host = divmod(number - 1, MAX_HOSTS)
         return f"127.{FIRST_SECOND_BYTE + offset}.{self._block}.{1 + host}"
 
     def close(self) -> None:
-        """Give the block back."""
+        """Release the block."""
         self._lock.close()
 
     def _ip(self, host: int) -> str:
         return f"127.{FIRST_SECOND_BYTE}.{self._block}.{host}"
 
     def _unused(self) -> bool:
-        """Say whether a run that reserves nothing, or one that was killed and left
-        processes behind, is here."""
+        """Return whether no other process uses the block: a run that reserves nothing,
+        or one that was killed and left processes behind, may still do."""
         program_addresses = ((self.host(1), METRICS_PORT), (self.host(1), FIRST_PORT))
         for address in (
             *program_addresses,
@@ -85,9 +85,9 @@
 
 
 def _bind(ip: str, port: int, reuse: bool = False) -> socket.socket | None:
-    """Return a socket that is bound, or ``None`` if another one is.
+    """Return a socket bound to an address, or ``None`` if that is impossible.
 
-    :param reuse: whether connections that were closed lately don't matter.
+    :param reuse: whether to ignore recently closed connections (``SO_REUSEADDR``).
     """
     sock = socket.socket()
     if reuse:
--- a/src/granitetrestle_standins/soakcrashes.py
+++ b/src/granitetrestle_standins/soakcrashes.py
@@ -1,6 +1,6 @@
-"""Crashes of boxes in a soak of real processes: one or many at once, which start again soon,
-most of them under the id that they had, and are in the list some time later. At the end of a
-run all processes may lose power at the same moment, and all boxes with them."""
+"""Random crashes of boxes in a soak of real processes: one or many boxes at once, which
+restart soon, most of them under their old id, and are listed some time later. At the
+end of a run all processes may lose power at once, and all boxes with them."""
 
 import random
 import signal
@@ -10,24 +10,26 @@
 
 __all__ = ["SoakCrashes"]
 
-# Of a hundred things that happen, beside so many boxes crash: one, or so large a part.
+# Probability per operation of the soak that boxes crash as well, and the shares of all
+# boxes that do (at least one box).
 CRASH_PROBABILITY_PERCENT: t.Final = 12
 CRASHED_SHARES: t.Final = (0.0, 0.0, 0.34)
-# They start again, and then are listed anew, after so many seconds; this share of them
-# under the id that they had.
+# Time until a crashed box restarts, time from then until it is listed again, and the
+# probability that the boxes keep their id.
 DOWNTIMES_S: t.Final = (0.05, 0.3, 1.0, 3.0)
 LISTING_DELAYS_S: t.Final = (0.0, 0.0, 0.5, 1.5)
 KEEP_ID_PROBABILITY: t.Final = 0.75
-# Shares of the runs at whose end all processes lose power, and of these in which all boxes
-# do as well.
+# Probability that all processes lose power at the end of a run, and that all boxes then
+# do too.
 POWER_OFF_PROBABILITY: t.Final = 0.4
 BOXES_POWER_OFF_PROBABILITY: t.Final = 0.5
 
 
 class SoakCrashes:
-    """Draws crashes, apart from what else a seed draws: that stays as it was.
+    """Draws crashes from a random sequence of its own, so that they don't change what
+    else is drawn from the same seed.
 
-    :ivar counts: how many boxes crashed, by under which id they started again; "power off"
+    :ivar counts: number of crashed boxes by the id that they restart with; "power off"
         is 1 if all processes lost power at the end, 2 if all boxes did too.
     """
 
@@ -36,7 +38,7 @@
         self.counts: dict[str, int] = {}
 
     def crash_boxes(self, cluster: NativeCluster) -> None:
-        """Let boxes crash, or not."""
+        """Crash some boxes, with a probability of ``CRASH_PROBABILITY_PERCENT``."""
         rng = self._random
         if rng.randrange(100) >= CRASH_PROBABILITY_PERCENT:
             return
@@ -45,9 +47,11 @@
             self._crash(cluster, box)
 
     def power_off(self, cluster: NativeCluster) -> bool:
-        """Let everything but the store lose power and start again, or not.
+        """Perhaps cut and restore the power of all processes, or of all boxes as well.
 
-        :returns: whether it did; all processes have started then.
+        The store keeps its power.
+
+        :returns: whether power was cut; then all processes have started again.
         """
         if self._random.random() >= POWER_OFF_PROBABILITY:
             return False
--- a/src/granitetrestle_standins/soaklinks.py
+++ b/src/granitetrestle_standins/soaklinks.py
@@ -1,5 +1,5 @@
-"""Random faults of links for a soak: between one pair, between the decider and all of a
-kind, of a whole data hall, one way or both. Each lasts for a drawn time."""
+"""Random link faults for a soak: between one pair of places, between the leader and all
+places of a kind, or of a whole data hall; one way or both, each for a random time."""
 
 import random
 import time
@@ -14,10 +14,10 @@
 
 __all__ = ["LinkFaults"]
 
-# How long a fault lasts: from less than a decider's silence that is noticed (0.8 s) to
-# several leases.
+# From less than the time after which a silent leader is noticed (0.8 s) to several
+# lease durations.
 FAULT_DURATIONS_S: t.Final = (0.4, 1.0, 2.0, 4.0, 8.0, 12.0)
-# What is held back arrives after a call's time-out, a take-over or a lease.
+# Held-back calls arrive after a call's timeout, a takeover or the expiry of a lease.
 HOLD_TIMES_S: t.Final = (0.3, 0.8, 1.5, 3.0, 6.0)
 DELAYS_S: t.Final = (0.02, 0.1, 0.3, 0.7)
 RATES_BYTES_PER_S: t.Final = (1_000.0, 10_000.0, 100_000.0)
@@ -32,9 +32,9 @@
 
 
 class _ActiveFault(t.NamedTuple):
-    """A fault that is in force.
+    """A fault that is in effect.
 
-    :param until: seconds on the monotonic clock.
+    :param until: when it ends, in seconds on the monotonic clock.
     """
 
     until: float
@@ -42,7 +42,7 @@
 
 
 class LinkFaults:
-    """Draws faults, and ends each when its time is over."""
+    """Injects random faults and ends each after its duration."""
 
     def __init__(
         self,
@@ -60,9 +60,9 @@
         self._active: list[_ActiveFault] = []
 
     def inject(self, leader: str | None) -> None:
-        """Bring faults about.
+        """Inject a random fault on one link or several.
 
-        :param leader: who decides, as far as is known.
+        :param leader: the leader, if it is known.
         """
         kinds, weights = zip(*KIND_WEIGHTS, strict=True)
         (kind,) = self._random.choices(kinds, weights)
@@ -73,11 +73,11 @@
             fault = Fault(kind, source, target, both_ways, amount)
             self._links.set_fault(fault)
             if kind is not FaultKind.LATE:
-                # What is held back arrives by itself.
+                # Held-back calls are delivered without an end of the fault.
                 self._active.append(_ActiveFault(until, fault))
 
     def end_expired(self, everything: bool = False) -> None:
-        """End faults whose time is over."""
+        """End faults whose duration is over, or all faults."""
         if everything:
             self._active.clear()
             self._links.heal()
@@ -89,7 +89,7 @@
         self._active = [active for active in self._active if active.until > now]
         for active in expired:
             self._links.heal(active.fault.source, active.fault.target)
-        # Others on the same links go on.
+        # Healing a link also ends other faults on it that are still active.
         for active in self._active:
             self._links.set_fault(active.fault)
 
@@ -103,7 +103,7 @@
         return 0.0
 
     def _draw_links(self, leader: str | None) -> list[tuple[str, str]]:
-        """Draw the links, each as a source and a target."""
+        """Draw the links to disturb, each as a source and a target."""
         node = leader if self._random.random() < 0.6 else None
         node = node or self._random.choice(self._nodes)
         others = [other for other in self._nodes if other != node]
@@ -113,7 +113,7 @@
             ([self._random.choice(self._boxes)], 3),
             ([STORE], 3),
             ([CLIENT], 1),
-            # All others lose the decider, which still reaches the store and the boxes.
+            # The other nodes lose the leader, which still reaches the store and boxes.
             (others, 3),
             (some, 3),
             ([STORE, *others], 2),
--- a/src/granitetrestle_standins/soakobserver.py
+++ b/src/granitetrestle_standins/soakobserver.py
@@ -1,6 +1,7 @@
-"""What clients and boxes see while a soak of real processes goes on, for judging it
-afterwards. Clients of its own ask every process about accepted jobs all the while, so
-that it is known when a job was first shown as completed and whether somebody decides."""
+"""Recorder of what clients and boxes observe during a soak of real processes, for
+judging the run afterwards. It also requests the states of accepted jobs from every
+process all the time, to record when a job was first shown as completed and when a
+leader answers."""
 
 import json
 import pathlib
@@ -29,13 +30,14 @@
 
 __all__ = ["SoakObserver"]
 
-# Fine enough to tell the bound for the next decision by.
+# Short against the limit for the next decision, DECISION_TIMEOUT_S.
 REQUEST_INTERVAL_S: t.Final = 0.1
-# A process that is frozen or cut off answers nothing; the next call goes out soon.
+# A process that is frozen or cut off doesn't answer; the short timeout lets the next
+# request go out soon.
 REQUEST_TIMEOUT_S: t.Final = 0.6
 GONE: t.Final = 410
 OK: t.Final = 200
-# Asked for while no job was accepted yet; that nobody knows it is an answer as well.
+# Requested until a job is accepted: the answer that it is unknown also shows a leader.
 UNKNOWN_JOB_ID: t.Final = "0" * 16
 EVENT_BY_STATE: t.Final = {
     "completed": ClientEvent.COMPLETED,
@@ -45,10 +47,10 @@
 
 
 class SoakObserver:
-    """Notes what is seen, from threads of its own as well.
+    """Records events of clients, its own requests included; one thread per process.
 
-    :ivar last_fault: when the last disturbance is over that can keep the program from
-        deciding, in seconds.
+    :ivar last_fault: when the last disturbance that can keep the program from deciding
+        ends, in seconds on the monotonic clock.
     """
 
     def __init__(self, cluster: NativeCluster) -> None:
@@ -64,7 +66,7 @@
         self.last_fault = time.monotonic()
 
     def start(self) -> None:
-        """Begin to ask each process."""
+        """Start to send requests to each process."""
         for name in self._cluster.nodes():
             address = self._cluster.fronts[name]
             thread = threading.Thread(
@@ -74,21 +76,21 @@
             self._threads.append(thread)
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop the requests and wait for their threads."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
 
     def record_disturbance(self, until: float = 0.0) -> None:
-        """Note a disturbance that is over at ``until``, or now."""
+        """Record a disturbance that ends at ``until``, or now if that is later."""
         self.last_fault = max(self.last_fault, until, time.monotonic())
 
     def wait_for_decision(self) -> None:
-        """Return once somebody has to have decided after the last disturbance."""
+        """Wait until a leader must have decided after the last disturbance."""
         time.sleep(max(0.0, self.last_fault + DECISION_TIMEOUT_S - time.monotonic()))
 
     def record_event(self, job: str, told: ClientEvent) -> None:
-        """Note what a client was told, or sent; the same thing once for each job."""
+        """Record what a client received or sent, each event once per job."""
         with self._lock:
             if any(fact.job == job and fact.told is told for fact in self._clients):
                 return
@@ -99,7 +101,7 @@
                 self._ended.add(job)
 
     def _next_job(self) -> str:
-        """Return the job to ask for: those under way more often than those ended."""
+        """Return the job to request, unfinished ones more often than ended ones."""
         with self._lock:
             self._request_count += 1
             jobs = self._accepted
@@ -154,7 +156,7 @@
             self.record_event(job, event)
 
     def facts(self) -> Facts:
-        """Return all that was seen so far."""
+        """Return everything that was recorded so far."""
         runs: list[RunFact] = []
         lapses: list[Lapse] = []
         refused: list[RefusedStart] = []
@@ -186,17 +188,19 @@
             )
 
     def verdict(self, folder: pathlib.Path) -> Verdict:
-        """Judge the run, and write down in ``folder`` what it was judged by.
+        """Judge the run, and save the facts that it was judged by in ``folder``.
 
-        :raises FactsIncomplete: if too little was seen.
+        :raises FactsIncomplete: if too little was recorded.
         """
         facts = self.facts()
         save_facts(facts, folder / "facts.json")
         return judge(facts)
 
     def trace(self, folder: pathlib.Path, subject: str) -> str:
-        """Return the merged timeline of a task, job or box, and keep it in ``folder``;
-        that of the whole run is only kept."""
+        """Return the merged timeline of a task, job or box, and save it in ``folder``.
+
+        :param subject: empty for the whole run, whose timeline is only saved.
+        """
         facts = self.facts()._replace(last_fault=None)
         save_facts(facts, folder / "facts.json")
         violations = judge(facts).violations
--- a/src/granitetrestle_standins/storereadings.py
+++ b/src/granitetrestle_standins/storereadings.py
@@ -1,6 +1,6 @@
-"""The ways in which the page on the store can be read where it leaves more than one. A
-program has to keep its promises under each of them, so runs draw one; which of them the
-users' store has is not known."""
+"""Interpretations of the store's specification, where it allows more than one. The
+program must keep its guarantees under each of them, so test runs draw one; which one
+the users' store follows is not known."""
 
 import enum
 import random
@@ -16,39 +16,40 @@
     "draw_reading",
 ]
 
-# A call without an answer is done so much later, in seconds; the page says "seconds".
+# Minimum and maximum delay until an append without an answer takes effect; the
+# specification says "seconds".
 UNANSWERED_APPEND_DELAYS_S: t.Final = (1.0, 6.0)
-# Records on a page of the newest ones; the page allows 500 at most.
+# Records on a page of the newest records; the specification allows at most 500.
 PAGE_SIZES: t.Final = (2, 50, 500)
 
 
 class EmptyAppend(enum.Enum):
-    """What an append without records does to the numbers of its writer."""
+    """Effect of an append without records on its writer's sequence numbers."""
 
     TAKES_NO_NUMBER = "takes no number"
-    # Its answer is remembered, and a later append under that number is a repeat.
+    # Its answer is stored, and a later append with that number is a duplicate.
     TAKES_NUMBER = "takes its number"
 
 
 class ChangesOnPage(enum.Enum):
-    """What a page of the newest records shows of a change since the first page."""
+    """Which changes since the first page a later page of newest records shows."""
 
     NEW = "each change"
     OLD_OR_NEW = "some changes"
 
 
 class Unanswered(enum.Enum):
-    """When an append whose answer is lost is done."""
+    """When an append whose answer is lost takes effect."""
 
     AT_ONCE = "at once"
-    # If its condition still holds then.
+    # Only if its condition still holds then.
     LATER = "seconds later"
 
 
 class StoreReading(t.NamedTuple):
-    """One way to read the page.
+    """One interpretation of the store's specification.
 
-    :param page_size: records on a page of the newest ones.
+    :param page_size: number of records on a page of the newest records.
     """
 
     name: str
@@ -58,7 +59,7 @@
     page_size: int
 
 
-# The way in which the program was written; small pages show most about paging.
+# The interpretation that the program was written for; small pages test paging best.
 PLAIN: t.Final = StoreReading(
     "plain", EmptyAppend.TAKES_NO_NUMBER, ChangesOnPage.NEW, Unanswered.AT_ONCE, 2
 )
@@ -81,7 +82,7 @@
 
 
 def draw_reading(rng: random.Random) -> StoreReading:
-    """Return a reading of which each part is drawn; its name tells the parts."""
+    """Return an interpretation with random parts, named after them."""
     empty = rng.choice(tuple(EmptyAppend))
     pages = rng.choice(tuple(ChangesOnPage))
     unanswered = rng.choice(tuple(Unanswered))
