--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -183,20 +183,18 @@
         return self._cancel_tasks(owned, job)
 
     def _cancel_tasks(self, owned: OwnedShard, job: Job) -> list[Effect]:
-        facts: list[AttemptEnded] = []
+        ends: list[AttemptEnded] = []
         for task in job.tasks.values():
             if owned.waiting.discard(task.task):
-                facts.append(
-                    self._end_fact(owned, task.task, task.attempt, "cancelled")
-                )
+                ends.append(self._end_fact(owned, task.task, task.attempt, "cancelled"))
                 continue
             assignment = self._assignment(owned, task.task)
             if assignment is not None and assignment.state != "ending":
                 assignment.state = "stopping"
                 assignment.stop_reason = "cancelled"
-        if not facts:
+        if not ends:
             return []
-        return [AppendFacts(self._stream, tuple(facts), f"cancel/{job.job}")]
+        return [AppendFacts(self._stream, tuple(ends), f"cancel/{job.job}")]
 
     def _assignment(self, owned: OwnedShard, task: str) -> Assignment | None:
         name = owned.box_of_task.get(task)
@@ -478,14 +476,14 @@
         if not owned.uncertain or wall < owned.old_leases_expired_wall:
             return []
         uncertain, owned.uncertain = owned.uncertain, set()
-        facts = [
+        ends = [
             self._end_fact(owned, name, found[1].attempt, "lost")
             for name in sorted(uncertain)
             if (found := self._jobs.find_task(name)) and not found[1].ended
         ]
-        if not facts:
+        if not ends:
             return []
-        return [AppendFacts(self._stream, tuple(facts), f"lapse/{owned.shard}")]
+        return [AppendFacts(self._stream, tuple(ends), f"lapse/{owned.shard}")]
 
     def _has_lapsed(self, assignment: Assignment, box: BoxState) -> bool:
         """Return whether an exchange failed that was sent after the lease expired.
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -221,10 +221,8 @@
             offset = self._table.offset
             effects += self._heartbeat.tick(now, offset, self._stopping)
             effects += self._send_claims(now)
-        successors = [
-            n for n in self._ownership.live_members(now) if n != self._setup.node
-        ]
-        effects += self._owner.tick(now, event.wall, successors)
+        peers = [n for n in self._ownership.live_members(now) if n != self._setup.node]
+        effects += self._owner.tick(now, event.wall, peers)
         effects += self._borrower.due_reports(
             self._ownership, self._requests.demand, now
         )
@@ -372,7 +370,7 @@
                 self._heartbeat.remove_appended(fact.beats)
                 return []
             case AttemptEnded():
-                return self._apply_attempt_end(offset, fact, now)
+                return self._apply_end(offset, fact, now)
             case JobSubmitted():
                 return self._apply_submission(offset, fact)
             case JobCancelled():
@@ -396,9 +394,7 @@
     def _read_back(self, request: str, subject: str, offset: int) -> list[Effect]:
         return self._submissions.read_back(request, Accepted(subject, offset))
 
-    def _apply_attempt_end(
-        self, offset: int, fact: AttemptEnded, now: float
-    ) -> list[Effect]:
+    def _apply_end(self, offset: int, fact: AttemptEnded, now: float) -> list[Effect]:
         shard = self._ownership.shards.get(fact.shard)
         if shard is None:
             return []
--- a/src/granitetrestle_standins/shardworld.py
+++ b/src/granitetrestle_standins/shardworld.py
@@ -487,10 +487,8 @@
             if workflow is None:
                 raise PromiseBroken(f"{job} was accepted but is missing")
             if not workflow.terminal:
-                unfinished = [
-                    t.name for t in workflow.tasks.values() if t.state != DONE
-                ]
-                raise PromiseBroken(f"{job} did not end: {unfinished}")
+                remaining = [t.name for t in workflow.tasks.values() if t.state != DONE]
+                raise PromiseBroken(f"{job} did not end: {remaining}")
             if workflow.ended == "cancelled" and job not in self.cancelled:
                 raise PromiseBroken(f"{job} counts as cancelled")
             if workflow.ended == "failed" and not self._may_fail(job):
