--- a/src/granitetrestle/node.py
+++ b/src/granitetrestle/node.py
@@ -40,11 +40,11 @@
 
 __all__ = ["Node", "NodeParameters", "Responder"]
 
-# Shorter ones can't be told from the delay between reading the two clocks.
+# Shorter suspensions can't be told from the delay between reading the two clocks.
 MIN_LOGGED_SUSPENSION_S: t.Final = 0.1
 TICK_INTERVAL_S: t.Final = 0.1
 # The leader writes a heartbeat to the store. Once it has been unchanged for the timeout,
-# a process that hears too few others for a majority may take over too.
+# a process that lacks a stable majority may take over too.
 HEARTBEAT_INTERVAL_S: t.Final = 1.0
 HEARTBEAT_TIMEOUT_S: t.Final = 1.4
 # How long a leader that hands over waits for its last append.
@@ -52,11 +52,9 @@
 # A process without a known leader for this long is not ready for new connections.
 LEADERLESS_TIMEOUT_S: t.Final = 1.5
 MAX_CLAIM_ATTEMPTS: t.Final = 5
-# The registry is read again once for processes that registered during the first read,
-# and as long as no other process is heard: all known ones may be gone.
+# Rereads find processes that registered during the first read or since the others left.
 REGISTRY_REREAD_INTERVAL_S: t.Final = 2.0
-# A process that hears too few others checks the leader's heartbeat in the store when the
-# last one it read would have timed out, and no more often than this.
+# Minimum; a process without a majority checks when the last heartbeat read times out.
 LEADER_CHECK_INTERVAL_S: t.Final = 0.2
 # The connection to the sender of a request opens only with the first answer to it.
 ANSWER_SEND_TIMEOUT_S: t.Final = 1.0
@@ -228,7 +226,7 @@
         await self._reread_registry()
 
     async def _reread_registry(self) -> None:
-        """Read the registry once more, and again whenever no other process is heard."""
+        """Read the registry once more, and repeatedly while no other process reports."""
         first = True
         while True:
             await anyio.sleep(REGISTRY_REREAD_INTERVAL_S)
@@ -476,7 +474,7 @@
             await anyio.sleep(TICK_INTERVAL_S / 2)
 
     def give_up(self) -> None:
-        """Give all open requests their final answer: no other will come."""
+        """Give all open requests their final answer; no later one is possible."""
         self._forwarding.close()
 
     def figures(self) -> dict[str, float]:
--- a/src/granitetrestle/placement.py
+++ b/src/granitetrestle/placement.py
@@ -263,7 +263,7 @@
     def exchange(
         self, owned: OwnedShard, box: BoxState, now: float, wall: float
     ) -> Effect:
-        """Return the next exchange with ``box``; it starts tasks only within the term."""
+        """Return the next exchange; tasks start only within the ownership lease."""
         commands = list(box.cleanup.values())
         box.cleanup.clear()
         commands += self._start_commands(owned, box, now, wall)
--- a/src/granitetrestle/reducer.py
+++ b/src/granitetrestle/reducer.py
@@ -159,7 +159,7 @@
 
     @property
     def ownership(self) -> Ownership:
-        """Shards, members and terms of the data hall."""
+        """Shards, members and ownership leases of the data hall."""
         return self._ownership
 
     @property
@@ -205,10 +205,9 @@
         return self._stopping and idle and not self._ownership.owned()
 
     def step(self, event: Event) -> list[Effect]:
-        """Apply one event.
+        """Apply one event and return its effects, to be executed in this order.
 
-        :returns: effects, to be carried out in this order.
-        :raises InvariantViolated: if a promise is broken, which is a bug.
+        :raises InvariantViolated: if an invariant does not hold, which is a bug.
         """
         return self._handlers[type(event)](event)
 
@@ -304,8 +303,7 @@
         self._owner.placement.restore_drained(state.drained)
         self._owner.placement.hall_evacuated(state.evacuated)
         self._writers[self._stream] = state.writers
-        # The state of shards held here was lost with the records skipped in the log,
-        # so the shards are released to other owners.
+        # The state of own shards was lost with the skipped records: other owners take over.
         return [
             self._owner.release_after_gap(shard, self._ownership.shards[shard].epoch)
             for shard in self._ownership.owned()
@@ -321,7 +319,7 @@
         return effects
 
     def write_snapshots_now(self) -> None:
-        """Make snapshots due at the next tick, if this process is the one to write them."""
+        """Make snapshots due at the next tick, if this process is to write them."""
         for stream in self._streams_at_tail:
             self._snapshot_at[stream] = (0, -1e18)
 
