--- a/features/session_world.py
+++ b/features/session_world.py
@@ -45,7 +45,7 @@
             return super().append(topic, records, writer)
         outcome = super().append(topic, records, writer)
         if isinstance(outcome, Appended):
-            writing = self._writing[topic]
+            writing = self._writers[topic]
             if writing.last is None or writer.sequence == writing.last + 1:
                 writing.last = writer.sequence
                 writing.answers[writer.sequence] = len(self.topics[topic])
