--- a/features/steps/hall_steps.py
+++ b/features/steps/hall_steps.py
@@ -60,7 +60,7 @@
 
 
 @when("the hall is given back")
-def given_back(context):
+def hall_restored(context):
     set_evacuated(context, "restore", False)
 
 
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -73,7 +73,7 @@
             await meanwhile(session)
             context.since = time.monotonic()
             await anyio.sleep(SETTLE_S)
-            context.over = session.over
+            context.stepped_down = session.over
 
     anyio.run(script)
 
@@ -120,7 +120,7 @@
     store = context.world.store
     append = store.append
 
-    async def late_answer(topic, records, writer, timeout_s):
+    async def delayed_answer(topic, records, writer, timeout_s):
         outcome = await append(topic, records, writer, timeout_s)
         started = any(record.key.startswith("t/") for record in records)
         if started and isinstance(outcome, Appended):
@@ -129,14 +129,14 @@
             context.since = time.monotonic()
         return outcome
 
-    store.append = late_answer
+    store.append = delayed_answer
 
     async def script():
         async with context.world.session(1) as session:
             with anyio.move_on_after(SETTLE_S + seconds):
                 await session.call("r", SubmitJob(job(8)))
                 await anyio.sleep(SETTLE_S)
-            context.over = session.over
+            context.stepped_down = session.over
 
     anyio.run(script)
 
@@ -148,12 +148,12 @@
             context.waits = []
             wait_until_valid = session._leader_lease.wait_until_valid
 
-            async def measured():
+            async def measured_wait():
                 started_at = time.perf_counter()
                 await wait_until_valid()
                 context.waits.append(time.perf_counter() - started_at)
 
-            session._leader_lease.wait_until_valid = measured
+            session._leader_lease.wait_until_valid = measured_wait
             for number in range(tasks // 8):
                 submission = job(8, f"{number + 1}")
                 await session.call(f"r{number}", SubmitJob(submission))
@@ -164,11 +164,13 @@
 
 @then("no order of it reaches the box after that, and it has stepped down")
 def nothing_arrives(context):
-    late = [
+    late_starts_s = [
         round(at - context.since, 3) for at in context.arrived if at > context.since
     ]
-    assert not late, f"{len(late)} starts reached the box, after {late} s"
-    assert context.over
+    assert not late_starts_s, (
+        f"{len(late_starts_s)} starts reached the box, after {late_starts_s} s"
+    )
+    assert context.stepped_down
 
 
 @then("each of the {tasks:d} tasks runs once")
@@ -178,14 +180,14 @@
 
 
 @then(
-    "half of its starts waited {half:g} ms or less for the leader lease, and 99 in 100 "
-    "{maximum:g} ms or less"
+    "half of its starts waited {median_ms:g} ms or less for the leader lease, and 99 in 100 "
+    "{p99_ms:g} ms or less"
 )
-def waits_are_short(context, half, maximum):
+def waits_are_short(context, median_ms, p99_ms):
     waits = sorted(1000.0 * wait for wait in context.waits)
     assert len(waits) >= 100, len(waits)
-    assert waits[len(waits) // 2] <= half, waits
-    assert waits[len(waits) * 99 // 100] <= maximum, waits
+    assert waits[len(waits) // 2] <= median_ms, waits
+    assert waits[len(waits) * 99 // 100] <= p99_ms, waits
 
 
 @given("a command window that lets nothing pass")
--- a/features/steps/review_findings_steps.py
+++ b/features/steps/review_findings_steps.py
@@ -371,7 +371,7 @@
     append = store.append
     numbers = []
 
-    async def late_answer(topic, records, writer, timeout_s):
+    async def delayed_answer(topic, records, writer, timeout_s):
         outcome = await append(topic, records, writer, timeout_s)
         if topic != JOBS_TOPIC or writer is None:
             return outcome
@@ -394,10 +394,10 @@
             with anyio.fail_after(5.0):
                 while len(context.arrived) < tasks - waiting:
                     await anyio.sleep(0.005)
-            store.append = late_answer
+            store.append = delayed_answer
             session.observe_epoch(2)
             await anyio.sleep(seconds + 2.0)
-            context.over = session.over
+            context.stepped_down = session.over
 
     anyio.run(script)
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -28,8 +28,8 @@
 def disturb_processes(context, nodes, times, seed):
     # Raises with the seed and the logs when a promise was broken.
     context.times = times
-    played = soak_processes(seed, nodes=nodes, boxes=4, operations=times)
-    context.counts = played.counts
+    result = soak_processes(seed, nodes=nodes, boxes=4, operations=times)
+    context.counts = result.counts
 
 
 @when(
