--- a/features/hall_evacuated.feature
+++ b/features/hall_evacuated.feature
@@ -1,22 +1,22 @@
-Feature: Operators evacuate a data hall on the product's own interface
+Feature: Operators evacuate a data hall through the scheduler's own interface
 
-  Scenario: Nothing further starts, what runs goes on, and a new owner knows
+  Scenario: No further task starts, running tasks continue, and a new owner applies the evacuation
     Given a hall of 3 processes and 3 boxes among fakes
     And a service of 2 replicas is running
-    When the hall is evacuated, and a job of 2 tasks is handed in
+    When the hall is evacuated, and a job of 2 tasks is submitted
     Then its tasks wait, and are explained by the evacuation
     And the replicas still run where they were
     When the owner is killed and 12 seconds pass
     Then its tasks wait, and are explained by the evacuation
-    When the hall is given back
+    When the hall is restored
     Then its tasks run within 4 seconds
 
-  Scenario: A process that starts from a snapshot knows the evacuation
+  Scenario: A snapshot contains the evacuation
     Given a hall of 3 processes and 3 boxes among fakes
     When the hall is evacuated, and a snapshot of its stream is taken
-    Then what is read from the snapshot says so
+    Then the decoded snapshot shows the evacuation
 
   Scenario: Through the command line
     Given one data hall with three daemons and two boxes
-    Then the command line evacuates the hall, lists it, and gives it back
+    Then the command line evacuates the hall, lists it, and restores it
     And a hall that does not exist is refused as not found
--- a/features/review_findings.feature
+++ b/features/review_findings.feature
@@ -50,9 +50,9 @@
     Then the present incarnation does not count as ended
 
   Scenario: A start that waits for a new confirmation is not sent by a deposed leader that stalled
-    Given a decider, and a box that takes 0.3 seconds to answer each start
+    Given a leader, and a box that takes 0.3 seconds to answer each start
     When 4 of its 8 starts wait for a new confirmation, it stalls for 2 seconds while the answer to that is in flight, and another takes over meanwhile
-    Then no order of it reaches the box after that, and it has stepped down
+    Then no command of it reaches the box after that, and it has stepped down
 
   Scenario: A pace command is sent at once while starts wait for the leader lease
     Given a store that takes 1 second for an append and then becomes unavailable, and 1 boxes
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -2,7 +2,7 @@
   A short slice with fixed seeds; make soak runs for minutes from a new seed.
 
   Scenario Outline: Random work and faults from seed <seed>
-    When random work and faults run from seed <seed> over the reducers
+    When random work and faults run from seed <seed> over the schedulers
     Then no invariant was violated and work was done
 
     Examples:
@@ -23,7 +23,8 @@
       | 9003 |
 
   Scenario Outline: Real processes are killed, stopped and frozen from seed <seed>
-    Seed 102: a stop that was answered while a look waited was given again for ever.
+    Seed 102 guards against a stop that is answered during a long poll and then sent again
+    without end.
     When <nodes> real processes, boxes and the store are disturbed <times> times from seed <seed>
     Then every promise that clients were given was kept
 
--- a/features/steps/hall_steps.py
+++ b/features/steps/hall_steps.py
@@ -24,7 +24,7 @@
     assert isinstance(fake.outcomes[name], Accepted), fake.outcomes
 
 
-@when("the hall is evacuated, and a job of 2 tasks is handed in")
+@when("the hall is evacuated, and a job of 2 tasks is submitted")
 def evacuated(context):
     context.initial_placement = dict(context.world.ledger.running)
     set_evacuated(context, "evacuate", True)
@@ -59,7 +59,7 @@
     context.chaos.advance(float(seconds))
 
 
-@when("the hall is given back")
+@when("the hall is restored")
 def hall_restored(context):
     set_evacuated(context, "restore", False)
 
@@ -77,12 +77,12 @@
     context.payload = encode_state(owner(context).reducer.state_of("hall-zurich"))
 
 
-@then("what is read from the snapshot says so")
+@then("the decoded snapshot shows the evacuation")
 def snapshot_says(context):
     assert decode_hall(context.payload).evacuated
 
 
-@then("the command line evacuates the hall, lists it, and gives it back")
+@then("the command line evacuates the hall, lists it, and restores it")
 def command_line(context):
     cluster = context.cluster
     token = f"operator.{OPERATOR_SECRET}"
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios about commands that wait to be sent."""
+"""Steps for starts that wait to be sent, and for the leader lease they need."""
 
 import time
 
@@ -22,7 +22,7 @@
 from session_world import LongPollStore
 from session_world import SessionWorld
 
-# Long enough for all released commands to be sent.
+# Long enough for all pending commands to be sent.
 SETTLE_S = 1.5
 
 
@@ -31,7 +31,7 @@
     return Submission(name.rjust(16, "0"), "q", "pool", "s", (step,))
 
 
-@given("a decider, and a box that takes {seconds:g} seconds to answer each start")
+@given("a leader, and a box that takes {seconds:g} seconds to answer each start")
 def slow_box(context, seconds):
     context.world = SessionWorld(LongPollStore(StoreModel()), 1, context.folder)
     boxes = context.world.boxes
@@ -79,7 +79,7 @@
 
 
 @when(
-    "it has {tasks:d} tasks to start there, stands still for {seconds:g} seconds, and "
+    "it has {tasks:d} tasks to start there, stalls for {seconds:g} seconds, and "
     "another process takes over meanwhile"
 )
 def stalls_during_take_over(context, tasks, seconds):
@@ -90,18 +90,18 @@
     run_session(context, tasks, meanwhile)
 
 
-@when("it has {tasks:d} tasks to start there, and stands still for {seconds:g} seconds")
+@when("it has {tasks:d} tasks to start there, and stalls for {seconds:g} seconds")
 def stalls_without_take_over(context, tasks, seconds):
     async def meanwhile(session):
         block_process(seconds)
-        # Eight starts, four at a time, and the run time of the tasks.
+        # Covers eight starts, four at a time, and the run time of the tasks.
         await anyio.sleep(2.0)
 
     run_session(context, tasks, meanwhile)
 
 
 @when(
-    "it has {tasks:d} tasks to start there, and hears of a newer epoch that was "
+    "it has {tasks:d} tasks to start there, and learns of a newer epoch that was "
     "claimed at the store"
 )
 def newer_epoch_observed(context, tasks):
@@ -113,8 +113,8 @@
 
 
 @when(
-    "it stands still for {seconds:g} seconds while the answer to its record is on the "
-    "way, and another process takes over meanwhile"
+    "it stalls for {seconds:g} seconds while the answer to its record is in "
+    "flight, and another process takes over meanwhile"
 )
 def stalls_before_answer(context, seconds):
     store = context.world.store
@@ -162,7 +162,7 @@
     anyio.run(script)
 
 
-@then("no order of it reaches the box after that, and it has stepped down")
+@then("no command of it reaches the box after that, and it has stepped down")
 def nothing_arrives(context):
     late_starts_s = [
         round(at - context.since, 3) for at in context.arrived if at > context.since
@@ -180,8 +180,8 @@
 
 
 @then(
-    "half of its starts waited {median_ms:g} ms or less for the leader lease, and 99 in 100 "
-    "{p99_ms:g} ms or less"
+    "half of its starts waited {median_ms:g} ms or less for the leader lease, "
+    "and 99 in 100 {p99_ms:g} ms or less"
 )
 def waits_are_short(context, median_ms, p99_ms):
     waits = sorted(1000.0 * wait for wait in context.waits)
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -9,7 +9,7 @@
 from granitetrestle_standins.soak import soak
 
 
-@when("random work and faults run from seed {seed:d} over the reducers")
+@when("random work and faults run from seed {seed:d} over the schedulers")
 def run_soak(context, seed):
     context.counts = soak(seed)
 
@@ -26,7 +26,7 @@
     "from seed {seed:d}"
 )
 def disturb_processes(context, nodes, times, seed):
-    # Raises with the seed and the logs when a promise was broken.
+    # Raises an error with the seed and the logs if a promise is broken.
     context.times = times
     result = soak_processes(seed, nodes=nodes, boxes=4, operations=times)
     context.counts = result.counts
