--- a/src/granitetrestle/boxindex.py
+++ b/src/granitetrestle/boxindex.py
@@ -59,7 +59,7 @@
 class EligibleBoxes:
     """The boxes of a pool that are eligible for the tasks of one step.
 
-    :param suits: returns whether a box has room for one of them and may run it.
+    :param is_eligible: returns whether a box has room for one of them and may run it.
     """
 
     __slots__ = ("_is_eligible", "_sequence", "boxes", "pool")
--- a/src/granitetrestle/longrunningwaits.py
+++ b/src/granitetrestle/longrunningwaits.py
@@ -97,8 +97,8 @@
         """Report every few seconds why long-running tasks have waited for long.
 
         :param max_starts: limit of starts in the pass.
-        :param inherited_ends: maps the incarnation of a box to the time when the last
-            lease that a predecessor may have given it ends.
+        :param inherited_leases_end: maps the incarnation of a box to the time when the
+            last lease that a predecessor may have given it ends.
         """
         boxes = max(1, len(self._state.boxes))
         if now - self._reported_at < max(
--- a/src/granitetrestle/scheduler.py
+++ b/src/granitetrestle/scheduler.py
@@ -203,7 +203,7 @@
         """Place waiting tasks, and requeue tasks whose leases have expired.
 
         :param wall_ms: Unix time in ms, for timed jobs.
-        :param most_starts: how many commands can be sent soon. Any further task stays in
+        :param max_starts: how many commands can be sent soon. Any further task stays in
             the queue, ordered by urgency, rather than wait to be sent.
         """
         effects = self._fleet.expire_leases(now)
